--- a/src/control_daemon/control_metrics.cpp
+++ b/src/control_daemon/control_metrics.cpp
@@ -1,47 +1,25 @@
 #include "control_daemon/control_metrics.h"
 
-#include <prometheus/text_serializer.h>
-
 namespace cedarpoint {
 namespace {
 
-constexpr double us_per_second = 1e6;
+/// Bounds from a sync on a fast disk to an election.
+const std::vector<double> commit_bounds{0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4};
 
 } // namespace
 
 control_metrics::control_metrics()
-    : calls_{prometheus::BuildCounter()
-                 .Name("cedarpoint_control_calls_total")
-                 .Help("Calls of operators and runners, by call and status")
-                 .Register(registry_)},
-      orders_{prometheus::BuildCounter()
-                  .Name("cedarpoint_orders_total")
-                  .Help("Orders to runners, by kind and result")
-                  .Register(registry_)},
-      groups_{prometheus::BuildGauge()
-                  .Name("cedarpoint_planned_groups")
-                  .Help("Groups in the leader's plan, by phase")
-                  .Register(registry_)},
-      runners_{prometheus::BuildGauge()
-                   .Name("cedarpoint_runners")
-                   .Help("Runners that announce themselves, by use")
-                   .Register(registry_)},
-      commit_{prometheus::BuildHistogram()
-                  .Name("cedarpoint_commit_seconds")
-                  .Help("From a proposal to its commit")
-                  .Register(registry_)
-                  .Add({}, prometheus::Histogram::BucketBoundaries{0.002, 0.005, 0.01, 0.025, 0.05,
-                                                                   0.1, 0.25, 0.5, 1, 2, 4})},
-      leader_{prometheus::BuildGauge()
-                  .Name("cedarpoint_leader")
-                  .Help("1 while this daemon leads")
-                  .Register(registry_)
-                  .Add({})},
-      version_{prometheus::BuildGauge()
-                   .Name("cedarpoint_configuration_version")
-                   .Help("Version of the configuration that is committed here")
-                   .Register(registry_)
-                   .Add({})}
+    : calls_{registry_.add_counters("cedarpoint_control_calls_total",
+                                    "Calls of operators and runners, by call and status")},
+      orders_{registry_.add_counters("cedarpoint_orders_total",
+                                     "Orders to runners, by kind and result")},
+      groups_{registry_.add_gauges("cedarpoint_planned_groups",
+                                   "Groups in the leader's plan, by phase")},
+      commit_{registry_.add_histogram("cedarpoint_commit_seconds", "From a proposal to its commit",
+                                      commit_bounds)},
+      leader_{registry_.add_gauge("cedarpoint_leader", "1 while this daemon leads")},
+      version_{registry_.add_gauge("cedarpoint_configuration_version",
+                                   "Version of the configuration that is committed here")}
 {
 }
 
@@ -57,7 +35,7 @@
 
 void control_metrics::observe_commit(duration since_proposal)
 {
-    commit_.Observe(static_cast<double>(since_proposal.count()) / us_per_second);
+    commit_.Observe(to_metric_seconds(since_proposal));
 }
 
 void control_metrics::set_groups(const std::string& phase, double count)
@@ -65,15 +43,4 @@
     groups_.Add({{"phase", phase}}).Set(count);
 }
 
-void control_metrics::set_runners(double present, double free)
-{
-    runners_.Add({{"use", "present"}}).Set(present);
-    runners_.Add({{"use", "in no group"}}).Set(free);
-}
-
-std::string control_metrics::text() const
-{
-    return prometheus::TextSerializer{}.Serialize(registry_.Collect());
-}
-
 } // namespace cedarpoint
--- a/src/control_daemon/control_metrics.h
+++ b/src/control_daemon/control_metrics.h
@@ -1,17 +1,13 @@
 #pragma once
 
 #include "cedarpoint/core/time.h"
-
-#include <prometheus/counter.h>
-#include <prometheus/gauge.h>
-#include <prometheus/histogram.h>
-#include <prometheus/registry.h>
+#include "io/metrics_registry.h"
 
 #include <string>
 
 namespace cedarpoint {
 
-/// The figures of a control daemon.
+/// The metrics of a control daemon. docs/OPERATIONS.md says which to watch.
 class control_metrics {
 public:
     control_metrics();
@@ -22,17 +18,14 @@
     void set_leader(bool leads) { leader_.Set(leads ? 1 : 0); }
     void set_version(double version) { version_.Set(version); }
     void set_groups(const std::string& phase, double count);
-    void set_runners(double present, double free);
 
-    /// The text exposition format.
-    [[nodiscard]] std::string text() const;
+    [[nodiscard]] std::string text() const { return registry_.text(); }
 
 private:
-    prometheus::Registry registry_;
+    metrics_registry registry_;
     prometheus::Family<prometheus::Counter>& calls_;
     prometheus::Family<prometheus::Counter>& orders_;
     prometheus::Family<prometheus::Gauge>& groups_;
-    prometheus::Family<prometheus::Gauge>& runners_;
     prometheus::Histogram& commit_;
     prometheus::Gauge& leader_;
     prometheus::Gauge& version_;
--- a/src/daemon/caller_gateway.cpp
+++ b/src/daemon/caller_gateway.cpp
@@ -1,9 +1,10 @@
 #include "daemon/caller_gateway.h"
 
 #include "io/clock.h"
+#include "io/header_rules.h"
+#include "io/http_status.h"
 #include "io/log_line.h"
 
-#include <array>
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 #include <random>
@@ -16,20 +17,6 @@
     "Cedarpoint-Not-Run"; ///< a runner's word that it took nothing
 constexpr const char* attempt_field = "X-Request-Id";
 
-constexpr std::array hop_by_hop{"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
-                                "TE",         "Trailer",    "Upgrade",          "Content-Length",
-                                "Expect"};
-
-bool is_hop_by_hop(std::string_view name)
-{
-    for (const auto* it : hop_by_hop) {
-        if (equal_ignoring_case(name, it)) {
-            return true;
-        }
-    }
-    return false;
-}
-
 /// Passed neither to runners nor from them: these are between the caller and cedarpoint.
 bool is_private(std::string_view name)
 {
@@ -38,11 +25,6 @@
            equal_ignoring_case(name.substr(0, own.size()), own);
 }
 
-bool is_event_stream(const http_head& head)
-{
-    return head.status == 200 && head.fields.get("Content-Type").starts_with("text/event-stream");
-}
-
 /// A runner's head without what is between it and cedarpoint.
 http_head head_for_caller(const http_head& from, const request_id& request)
 {
@@ -316,7 +298,7 @@
         return;
     }
     const auto& to = exchanges_.at(it.request);
-    if (to.streamed && is_event_stream(head)) {
+    if (to.streamed && head.status == http_status::ok && is_event_stream(head)) {
         it.events = std::make_unique<sse_splitter>();
     }
     else if (to.reply->has_begun()) {
--- a/src/daemon/caller_gateway.h
+++ b/src/daemon/caller_gateway.h
@@ -4,8 +4,8 @@
 #include "daemon/decision_log.h"
 #include "daemon/metrics.h"
 #include "daemon/request_reader.h"
-#include "daemon/sse_splitter.h"
 #include "io/http_listener.h"
+#include "io/sse_splitter.h"
 #include "io/upstream_call.h"
 
 #include <functional>
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -3,16 +3,13 @@
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/request/refusal.h"
 
-#include <prometheus/counter.h>
-#include <prometheus/gauge.h>
-#include <prometheus/histogram.h>
-#include <prometheus/registry.h>
+#include "io/metrics_registry.h"
 
 #include <string>
 
 namespace cedarpoint {
 
-/// The figures of one daemon, as Prometheus reads them.
+/// The metrics of a daemon with a list of peers.
 class metrics {
 public:
     metrics();
@@ -31,11 +28,10 @@
     void set_groups(const std::string& state, double n);
     void set_stranded(double accelerators) { stranded_.Set(accelerators); }
 
-    /// The text exposition format.
-    [[nodiscard]] std::string text() const;
+    [[nodiscard]] std::string text() const { return registry_.text(); }
 
 private:
-    prometheus::Registry registry_;
+    metrics_registry registry_;
     prometheus::Family<prometheus::Counter>& refusals_;
     prometheus::Family<prometheus::Counter>& decisions_;
     prometheus::Family<prometheus::Gauge>& groups_;
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -123,9 +123,8 @@
     mesh_.drain();
     follower_.tick(now);
     mesh_.drain();
-    constexpr double us = 1e6;
     context_.figures.set_view(static_cast<double>(follower_.view().version()),
-                              static_cast<double>((now - follower_.heard()).count()) / us);
+                              now - follower_.heard());
     context_.figures.set_in_flight(static_cast<double>(requests_.size()));
     check_stop(now);
 }
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -1,51 +1,30 @@
 #include "entry/entry_metrics.h"
 
-#include <prometheus/text_serializer.h>
-
 namespace cedarpoint {
 namespace {
 
-constexpr double us_per_second = 1e6;
-
-double to_seconds(duration in)
-{
-    return static_cast<double>(in.count()) / us_per_second;
-}
-
-prometheus::Histogram::BucketBoundaries latency_buckets()
-{
-    return {0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8};
-}
-
-prometheus::Histogram& histogram(prometheus::Registry& registry, const char* name, const char* help)
-{
-    return prometheus::BuildHistogram().Name(name).Help(help).Register(registry).Add(
-        {}, latency_buckets());
-}
-
-prometheus::Gauge& gauge(prometheus::Registry& registry, const char* name, const char* help)
-{
-    return prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add({});
-}
+/// Bounds round the users' aims for a first event (0.2 to 0.4 s) and for pauses (0.2 and 0.3 s).
+const std::vector<double> latency_bounds{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3,
+                                         0.4,   0.6,  1,     2,    4,   8};
 
 } // namespace
 
 entry_metrics::entry_metrics()
-    : ends_{prometheus::BuildCounter()
-                .Name("cedarpoint_requests_total")
-                .Help("Requests by final answer and its cause")
-                .Register(registry_)},
-      attempts_{prometheus::BuildCounter()
-                    .Name("cedarpoint_attempts_total")
-                    .Help("Attempts at runners by outcome")
-                    .Register(registry_)},
-      first_byte_{histogram(registry_, "cedarpoint_first_byte_seconds",
-                            "From arrival to the first event or the whole answer")},
-      whole_{histogram(registry_, "cedarpoint_request_seconds", "From arrival to the end")},
-      pause_{histogram(registry_, "cedarpoint_event_pause_seconds", "Between two events")},
-      view_version_{gauge(registry_, "cedarpoint_view_version", "Version of the view in use")},
-      view_age_{gauge(registry_, "cedarpoint_view_age_seconds", "Since the leader was heard")},
-      in_flight_{gauge(registry_, "cedarpoint_requests_in_flight", "Requests without an end yet")}
+    : ends_{registry_.add_counters("cedarpoint_requests_total",
+                                   "Requests by final answer and its cause")},
+      attempts_{
+          registry_.add_counters("cedarpoint_attempts_total", "Attempts at runners by outcome")},
+      first_byte_{registry_.add_histogram("cedarpoint_first_byte_seconds",
+                                          "From arrival to the first event or the whole answer",
+                                          latency_bounds)},
+      whole_{registry_.add_histogram("cedarpoint_request_seconds", "From arrival to the end",
+                                     latency_bounds)},
+      pause_{registry_.add_histogram("cedarpoint_event_pause_seconds", "Between two events",
+                                     latency_bounds)},
+      view_version_{registry_.add_gauge("cedarpoint_view_version", "Version of the view in use")},
+      view_age_{registry_.add_gauge("cedarpoint_view_age_seconds", "Since the leader was heard")},
+      in_flight_{
+          registry_.add_gauge("cedarpoint_requests_in_flight", "Requests without an end yet")}
 {
 }
 
@@ -69,28 +48,23 @@
 
 void entry_metrics::observe_first_byte(duration since_arrival)
 {
-    first_byte_.Observe(to_seconds(since_arrival));
+    first_byte_.Observe(to_metric_seconds(since_arrival));
 }
 
 void entry_metrics::observe_whole(duration since_arrival)
 {
-    whole_.Observe(to_seconds(since_arrival));
+    whole_.Observe(to_metric_seconds(since_arrival));
 }
 
 void entry_metrics::observe_pause(duration between_events)
 {
-    pause_.Observe(to_seconds(between_events));
+    pause_.Observe(to_metric_seconds(between_events));
 }
 
-void entry_metrics::set_view(double version, double age_seconds)
+void entry_metrics::set_view(double version, duration age)
 {
     view_version_.Set(version);
-    view_age_.Set(age_seconds);
-}
-
-std::string entry_metrics::text() const
-{
-    return prometheus::TextSerializer{}.Serialize(registry_.Collect());
+    view_age_.Set(to_metric_seconds(age));
 }
 
 } // namespace cedarpoint
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -1,36 +1,32 @@
 #pragma once
 
 #include "cedarpoint/core/time.h"
-
-#include <prometheus/counter.h>
-#include <prometheus/gauge.h>
-#include <prometheus/histogram.h>
-#include <prometheus/registry.h>
+#include "io/metrics_registry.h"
 
 #include <map>
 #include <string>
 
 namespace cedarpoint {
 
-/// The figures of an entry daemon.
+/// The metrics of an entry daemon. docs/OPERATIONS.md says which to watch.
 class entry_metrics {
 public:
     entry_metrics();
 
-    /// A request's final answer and what it rests on.
+    /// A request has got its final answer. `cause` is a label: one of few texts, without names.
     void count_end(const std::string& outcome, const std::string& cause);
     void count_attempt(const std::string& outcome);
     void observe_first_byte(duration since_arrival);
     void observe_whole(duration since_arrival);
     void observe_pause(duration between_events);
-    void set_view(double version, double age_seconds);
+    /// `age`: since the leader was heard.
+    void set_view(double version, duration age);
     void set_in_flight(double count) { in_flight_.Set(count); }
 
-    /// The text exposition format.
-    [[nodiscard]] std::string text() const;
+    [[nodiscard]] std::string text() const { return registry_.text(); }
 
 private:
-    prometheus::Registry registry_;
+    metrics_registry registry_;
     prometheus::Family<prometheus::Counter>& ends_;
     prometheus::Family<prometheus::Counter>& attempts_;
     prometheus::Histogram& first_byte_;
@@ -39,6 +35,8 @@
     prometheus::Gauge& view_version_;
     prometheus::Gauge& view_age_;
     prometheus::Gauge& in_flight_;
+    // Looked up once: a family searches its labels at each call, which costs on the path of a
+    // request.
     std::map<std::string, prometheus::Counter*> known_ends_;
     std::map<std::string, prometheus::Counter*> known_attempts_;
 };
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -1,6 +1,7 @@
 #include "entry/relay.h"
 
 #include "io/clock.h"
+#include "io/header_rules.h"
 #include "io/log_line.h"
 
 #include <algorithm>
@@ -34,27 +35,6 @@
                        [&](std::string_view each) { return equal_ignoring_case(each, name); });
 }
 
-/// Headers that concern one connection only, or that this daemon writes itself.
-bool is_hop_header(std::string_view name)
-{
-    constexpr std::array<std::string_view, 9> hop{
-        "Connection", "Keep-Alive",        "Proxy-Connection", "TE", "Trailer", "Upgrade",
-        "Expect",     "Transfer-Encoding", "Content-Length"};
-    return is_one_of(hop, name);
-}
-
-/// A runner's head as the caller gets it.
-http_head without_hop_headers(const http_head& head)
-{
-    http_head out{head.status, {}};
-    for (const auto& [name, value] : head.fields.all()) {
-        if (!is_hop_header(name)) {
-            out.fields.add(name, value);
-        }
-    }
-    return out;
-}
-
 std::optional<std::int64_t> read_number(std::string_view text)
 {
     std::int64_t out = 0;
@@ -79,11 +59,6 @@
     return value;
 }
 
-bool is_event_stream(const http_head& head)
-{
-    return head.fields.get("Content-Type").starts_with("text/event-stream");
-}
-
 } // namespace
 
 relay::relay(entry_context& context, http_request request, std::shared_ptr<http_reply> reply,
@@ -239,7 +214,7 @@
         out.append(name).append(": ").append(value).append("\r\n");
     };
     for (const auto& [name, value] : request_.fields.all()) {
-        if (!is_one_of(own, name) && !is_hop_header(name)) {
+        if (!is_one_of(own, name) && !is_hop_by_hop(name)) {
             add(name, value);
         }
     }
@@ -316,7 +291,7 @@
     }
     if (!begun_) {
         begun_ = true;
-        auto out = without_hop_headers(*head_);
+        auto out = without_hop_by_hop(*head_);
         reply_->begin(std::move(out));
         context_.figures.observe_first_byte(now - arrived_);
     }
@@ -487,7 +462,7 @@
         reply_->finish();
     }
     else {
-        auto out = without_hop_headers(*head_);
+        auto out = without_hop_by_hop(*head_);
         reply_->send(std::move(out), body_);
         context_.figures.observe_first_byte(now - arrived_);
     }
@@ -509,7 +484,7 @@
         if (!promises || is_repeatable(facts_)) {
             head_ = failure_;
             body_ = failure_body_;
-            auto out = without_hop_headers(*head_);
+            auto out = without_hop_by_hop(*head_);
             reply_->send(std::move(out), body_);
             finish("failed_at_runner", why);
             return;
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "cedarpoint/fleet/attempt_policy.h"
-#include "daemon/sse_splitter.h"
 #include "entry/entry_context.h"
 #include "io/http_listener.h"
+#include "io/sse_splitter.h"
 
 #include <QTimer>
 
--- /dev/null
+++ b/src/io/header_rules.h
@@ -0,0 +1,19 @@
+#pragma once
+
+#include "io/http_message.h"
+
+#include <string_view>
+
+namespace cedarpoint {
+
+/// True for header fields that concern one connection only and are never passed on. The length is
+/// among them: it is written anew for each connection.
+[[nodiscard]] bool is_hop_by_hop(std::string_view name);
+
+/// A head without its hop-by-hop fields.
+[[nodiscard]] http_head without_hop_by_hop(const http_head& head);
+
+/// True if the body is a stream of server-sent events.
+[[nodiscard]] bool is_event_stream(const http_head& head);
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/io/http_status.h
@@ -0,0 +1,19 @@
+#pragma once
+
+namespace cedarpoint::http_status {
+
+// The statuses that the product gives or looks for, by their standard names.
+inline constexpr int ok = 200;
+inline constexpr int accepted = 202;
+inline constexpr int temporary_redirect = 307;
+inline constexpr int bad_request = 400;
+inline constexpr int unauthorized = 401;
+inline constexpr int not_found = 404;
+inline constexpr int conflict = 409;
+inline constexpr int precondition_failed = 412;
+inline constexpr int misdirected_request = 421;
+inline constexpr int bad_gateway = 502;
+inline constexpr int service_unavailable = 503;
+inline constexpr int gateway_timeout = 504;
+
+} // namespace cedarpoint::http_status
--- a/src/daemon/sse_splitter.cpp
+++ b/src/io/sse_splitter.cpp
@@ -1,4 +1,4 @@
-#include "daemon/sse_splitter.h"
+#include "io/sse_splitter.h"
 
 namespace cedarpoint {
 namespace {
