--- /dev/null
+++ b/include/cedarpoint/fleet/control_call.h
@@ -0,0 +1,28 @@
+#pragma once
+
+#include "cedarpoint/core/ids.h"
+
+#include <string_view>
+
+namespace cedarpoint {
+
+/// What a call of an operator or a runner to a control daemon asks for.
+enum class control_call {
+    put_configuration,
+    get_configuration,
+    heartbeat,
+    deregister,
+    check_readiness,
+    unknown
+};
+
+/// A name for metrics.
+std::string_view name_of(control_call call);
+
+/// A call, and the runner that makes it, if one does.
+struct parsed_call {
+    control_call call = control_call::unknown;
+    runner_id runner;
+};
+
+} // namespace cedarpoint
--- a/include/cedarpoint/fleet/fleet_configuration.h
+++ b/include/cedarpoint/fleet/fleet_configuration.h
@@ -45,15 +45,13 @@
     model_id name;
     std::size_t group_size = 1; ///< runners that a replica needs
     double share = 0;           ///< of the service's work, as expected
-    double pace = 1;            ///< a factor on all its times; above 1 is slower
     milliseconds load_time{0};  ///< weights from the store
     milliseconds warm_time{0};  ///< weights from the host
 };
 
 /// The published figures of a service whose runners form groups.
 struct engine_spec {
-    int slots = 1; ///< of a group
-    milliseconds form_time{0};
+    int slots = 1;               ///< of a group
     double loads_per_second = 1; ///< that the weight store lets begin
     int loads_at_once = 1;       ///< beyond these each takes longer
     std::vector<engine_model> models;
@@ -62,7 +60,6 @@
 /// A service behind routes.
 struct fleet_service {
     service_id name;
-    int max_connections = 64; ///< to one runner, from all callers
     std::optional<engine_spec> engine;
 };
 
@@ -81,7 +78,11 @@
     std::vector<fleet_account> accounts;
     bool requires_keys = false;
 
+    /// Null if there is no such service.
     [[nodiscard]] const fleet_service* find_service(const service_id& name) const;
+    /// Null if the service has no such model, or no engine.
+    [[nodiscard]] const engine_model* find_model(const service_id& service,
+                                                 const model_id& model) const;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "cedarpoint/fleet/dialect.h"
 #include "cedarpoint/fleet/fleet_state.h"
 #include "cedarpoint/fleet/fleet_view.h"
 #include "cedarpoint/fleet/group_planner.h"
+#include "cedarpoint/fleet/platform_adapter.h"
 #include "cedarpoint/fleet/runner_registry.h"
 #include "cedarpoint/fleet/sighting_board.h"
 
@@ -19,7 +19,8 @@
 /// and the view that entry daemons follow. Soft state, begun anew with each term. Does no I/O.
 class fleet_leader {
 public:
-    fleet_leader(planner_options options, const dialect& words, const fleet_state& state);
+    fleet_leader(planner_options options, const platform_adapter& platform,
+                 const fleet_state& state);
 
     /// Leads from now on, as the only leader of `term`.
     void begin_term(instant now, std::uint64_t term);
@@ -68,7 +69,7 @@
     [[nodiscard]] bool is_usable(instant now, const runner_record& record) const;
 
     planner_options options_;
-    const dialect& words_;
+    const platform_adapter& platform_;
     const fleet_state& state_;
     runner_registry registry_;
     sighting_board sightings_;
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -158,8 +158,6 @@
                                           const runner_id& runner) const;
     [[nodiscard]] bool is_member_at(const runner_id& runner, const planned_group& group,
                                     member_phase phase) const;
-    [[nodiscard]] const engine_model* find_model(const service_id& service,
-                                                 const model_id& model) const;
     [[nodiscard]] duration join_time(const runner_record& record, const engine_model& model) const;
     [[nodiscard]] std::size_t count_groups(const model_id& model) const;
     /// Groups of a model that there should be: by its share, and more while it is under pressure.
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -47,14 +47,6 @@
     return out;
 }
 
-const char* name_of_call(control_call call)
-{
-    constexpr std::array<const char*, 6> names{"put_configuration", "get_configuration",
-                                               "heartbeat",         "deregister",
-                                               "check_readiness",   "unknown"};
-    return names.at(static_cast<std::size_t>(call));
-}
-
 const char* name_of_order(order_kind kind)
 {
     constexpr std::array<const char*, 4> names{"join", "open", "leave", "stage"};
@@ -71,8 +63,8 @@
 } // namespace
 
 control_daemon::control_daemon(fleet_settings own)
-    : own_{std::move(own)}, id_{own_.address.str()}, words_{installed_dialect()},
-      leader_{planner_options_of(own_), words_, state_}, mesh_{[this](const wire::envelope& in) {
+    : own_{std::move(own)}, id_{own_.address.str()}, platform_{installed_platform()},
+      leader_{planner_options_of(own_), platform_, state_}, mesh_{[this](const wire::envelope& in) {
           receive(in);
       }}
 {
@@ -143,7 +135,7 @@
 bool control_daemon::open(reason& why)
 {
     orders_ = std::make_unique<runner_orders>(
-        words_,
+        platform_,
         runner_orders::hooks{
             [this](const group_order& order, order_result result) {
                 figures_.count_order(name_of_order(order.kind), name_of_result(result));
@@ -389,7 +381,7 @@
     }
     if (provisional_.to() != known) {
         reason why;
-        const auto read = words_.read_configuration(state_.document(), why);
+        const auto read = platform_.read_configuration(state_.document(), why);
         if (!read) {
             return;
         }
@@ -436,7 +428,7 @@
 void control_daemon::on_call(const http_request& request, const reply_ptr& reply)
 {
     const auto path = std::string_view{request.target}.substr(0, request.target.find('?'));
-    const auto target = words_.read_call(request.method, path);
+    const auto target = platform_.read_call(request.method, path);
     if (target.call == control_call::unknown) {
         answer(reply, status_unknown, R"({"error":"unknown call"})");
         return;
@@ -472,7 +464,7 @@
 void control_daemon::put_configuration(const http_request& request, const reply_ptr& reply)
 {
     reason why;
-    const auto read = words_.read_configuration(request.body, why);
+    const auto read = platform_.read_configuration(request.body, why);
     if (!read) {
         log_line("configuration").with("outcome", "invalid").with("reason", why.str()).write();
         answer(reply, status_bad, R"({"error":"the configuration is not valid"})");
@@ -494,7 +486,7 @@
         [this, reply, version, now](const std::optional<std::string>& applied) {
             const auto status = applied ? status_ok : status_unavailable;
             figures_.observe_commit(steady_now() - now);
-            figures_.count_call(name_of_call(control_call::put_configuration), status);
+            figures_.count_call(std::string{name_of(control_call::put_configuration)}, status);
             log_line("configuration")
                 .with("outcome", applied ? "accepted" : "unknown")
                 .with("version", version)
@@ -523,7 +515,7 @@
                                     const reply_ptr& reply)
 {
     reason why;
-    const auto read = words_.read_announcement(runner, request.body, why);
+    const auto read = platform_.read_announcement(runner, request.body, why);
     if (!read) {
         log_line("heartbeat_refused")
             .with("runner", runner.str())
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -64,7 +64,7 @@
 
     fleet_settings own_;
     daemon_id id_;
-    const dialect& words_;
+    const platform_adapter& platform_;
     posix_file_system files_;
     fleet_state state_;
     fleet_leader leader_;
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -25,8 +25,8 @@
     QTimer timer;
 };
 
-runner_orders::runner_orders(const dialect& words, hooks hooks)
-    : words_{words}, hooks_{std::move(hooks)}
+runner_orders::runner_orders(const platform_adapter& platform, hooks hooks)
+    : platform_{platform}, hooks_{std::move(hooks)}
 {
 }
 
@@ -38,11 +38,11 @@
 std::string runner_orders::make_request(const planner_step& step) const
 {
     const bool is_order = step.kind == planner_step::kind_t::order;
-    const auto body = is_order ? words_.write_order(step.order) : std::string{};
-    const auto& path = is_order ? words_.paths().order : words_.paths().status;
+    const auto body = is_order ? platform_.write_order(step.order) : std::string{};
+    const auto& path = is_order ? platform_.paths().order : platform_.paths().status;
     std::string out = (is_order ? "POST " : "GET ") + path + " HTTP/1.1\r\n";
     out += "Host: " + step.order.address.str() + "\r\n";
-    out += words_.headers().expected_runner + ": " + step.order.to.str() + "\r\n";
+    out += platform_.headers().expected_runner + ": " + step.order.to.str() + "\r\n";
     if (is_order) {
         out += "Content-Type: application/json\r\n";
         out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "cedarpoint/fleet/dialect.h"
 #include "cedarpoint/fleet/group_planner.h"
+#include "cedarpoint/fleet/platform_adapter.h"
 #include "io/runner_pool.h"
 
 #include <QTimer>
@@ -24,7 +24,7 @@
         std::function<void(const runner_id&, look_failure)> on_look_failed;
     };
 
-    runner_orders(const dialect& words, hooks hooks);
+    runner_orders(const platform_adapter& platform, hooks hooks);
     ~runner_orders();
     runner_orders(const runner_orders&) = delete;
     runner_orders& operator=(const runner_orders&) = delete;
@@ -44,7 +44,7 @@
     void report_look(const call& each, exchange_end how);
     void close(const call_ptr& each);
 
-    const dialect& words_;
+    const platform_adapter& platform_;
     hooks hooks_;
     runner_pool pool_;
     std::set<call_ptr> calls_;
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cedarpoint/fleet/dialect.h"
+#include "cedarpoint/fleet/platform_adapter.h"
 #include "cedarpoint/fleet/route_table.h"
 #include "cedarpoint/fleet/target_set.h"
 #include "cedarpoint/fleet/window_budget.h"
@@ -21,7 +21,7 @@
 
 /// What the requests of one entry daemon share.
 struct entry_context {
-    const dialect& words;
+    const platform_adapter& platform;
     std::shared_ptr<const route_table> routes; ///< null before the first configuration
     target_set targets;
     window_budget budget;
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 entry_daemon::entry_daemon(fleet_settings own)
-    : own_{std::move(own)}, context_{installed_dialect(),
+    : own_{std::move(own)}, context_{installed_platform(),
                                      nullptr,
                                      target_set{own_.failure_domain, random_seed()},
                                      window_budget{own_.budget},
@@ -158,7 +158,7 @@
 {
     reason why;
     const auto document = read_document(accepted);
-    auto read = context_.words.read_configuration(document.value_or(""), why);
+    auto read = context_.platform.read_configuration(document.value_or(""), why);
     if (!read) {
         refused_version_ = accepted.revision();
         log_line("configuration_unreadable")
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -103,7 +103,7 @@
 
 bool relay::admit()
 {
-    const auto& names = context_.words.headers();
+    const auto& names = context_.platform.headers();
     id_ = request_.fields.get(names.request_id);
     if (routes_ == nullptr) {
         refuse({unavailable, "no configuration is known yet", true}, "");
@@ -178,7 +178,7 @@
     exchange_request out;
     out.bytes = serialize_for(target, left);
     out.head_only = request_.method == "HEAD";
-    out.id_header = context_.words.headers().request_id;
+    out.id_header = context_.platform.headers().request_id;
     out.id = id_;
     const bool once = !is_repeatable(facts_);
     connection_ = context_.pool.take(target.address, once ? fresh_for_once : rest_for_repeatable);
@@ -205,7 +205,7 @@
 
 std::string relay::serialize_for(const fleet_target& target, milliseconds left) const
 {
-    const auto& names = context_.words.headers();
+    const auto& names = context_.platform.headers();
     const std::array<std::string_view, 6> own{names.deadline_ms,  names.priority,
                                               names.account,      names.expected_runner,
                                               names.resume_after, "Authorization"};
@@ -248,7 +248,7 @@
 
 bool relay::is_own_answer(const http_head& head) const
 {
-    const auto& names = context_.words.headers();
+    const auto& names = context_.platform.headers();
     return head.fields.get(names.request_id) == id_ && head.fields.has(names.signature) &&
            !head.fields.has("Content-Encoding");
 }
@@ -399,7 +399,7 @@
 
 void relay::judge_answer()
 {
-    const auto& names = context_.words.headers();
+    const auto& names = context_.platform.headers();
     const auto& head = *head_;
     const bool disclaimed = head.fields.has(names.not_executed) || head.status == misdirected;
     if (disclaimed) {
@@ -503,7 +503,7 @@
 void relay::refuse(const own_answer& answer, const std::string& why)
 {
     http_head head{answer.status, {}};
-    head.fields.add(context_.words.headers().request_id, id_);
+    head.fields.add(context_.platform.headers().request_id, id_);
     head.fields.add("Content-Type", "application/json");
     if (answer.come_back) {
         head.fields.add("Retry-After", come_back_seconds);
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -27,9 +27,10 @@
 
 } // namespace
 
-fleet_leader::fleet_leader(planner_options options, const dialect& words, const fleet_state& state)
-    : options_{options}, words_{words}, state_{state}, planner_{options, registry_, sightings_,
-                                                                state}
+fleet_leader::fleet_leader(planner_options options, const platform_adapter& platform,
+                           const fleet_state& state)
+    : options_{options}, platform_{platform}, state_{state}, planner_{options, registry_,
+                                                                      sightings_, state}
 {
 }
 
@@ -85,7 +86,7 @@
         return;
     }
     reason why;
-    if (auto read = words_.read_configuration(state_.document(), why)) {
+    if (auto read = platform_.read_configuration(state_.document(), why)) {
         configuration_ = std::move(read);
         planner_.set_configuration(&*configuration_);
     }
--- a/src/fleet/group_placement.cpp
+++ b/src/fleet/group_placement.cpp
@@ -18,19 +18,6 @@
 
 } // namespace
 
-const engine_model* group_planner::find_model(const service_id& service,
-                                              const model_id& model) const
-{
-    const auto* found = configuration_->find_service(service);
-    if (found == nullptr || !found->engine) {
-        return nullptr;
-    }
-    const auto& models = found->engine->models;
-    const auto each = std::find_if(models.begin(), models.end(),
-                                   [&](const engine_model& one) { return one.name == model; });
-    return each == models.end() ? nullptr : &*each;
-}
-
 bool group_planner::is_free(instant now, const runner_record& record) const
 {
     const auto& runner = record.latest.id;
--- a/src/fleet/group_planner.cpp
+++ b/src/fleet/group_planner.cpp
@@ -172,7 +172,7 @@
     const auto& any = registry_.find(ranks.begin()->second)->latest;
     group.service = any.service;
     group.model = any.models.empty() ? model_id{} : any.models.front();
-    const auto* model = find_model(group.service, group.model);
+    const auto* model = configuration_->find_model(group.service, group.model);
     const auto head = head_in(group.name);
     if (ranks.begin()->first != 0) {
         group.members.push_back(head);
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -56,7 +56,7 @@
         return leader.on_follow(start + after, "entry", word);
     }
     fleet_state state;
-    fleet_leader leader{{}, installed_dialect(), state};
+    fleet_leader leader{{}, installed_platform(), state};
 };
 
 TEST_F(a_leader_with_a_large_configuration, sends_it_once_while_it_is_under_way)
@@ -139,7 +139,7 @@
         runner.mutable_registration()->set_address("10.0.0.9:80");
         state.apply(runner.SerializeAsString());
         reason why;
-        const auto read = installed_dialect().read_configuration(state.document(), why);
+        const auto read = installed_platform().read_configuration(state.document(), why);
         return make_provisional_view(state, *read, index);
     }
     void hear(const wire::fleet_update& update)
--- a/tests/fleet/planner_world.cpp
+++ b/tests/fleet/planner_world.cpp
@@ -39,7 +39,7 @@
     planner_options times;
     times.heartbeat = heartbeat;
     times.stall = stall;
-    leader_.emplace(times, installed_dialect(), state_);
+    leader_.emplace(times, installed_platform(), state_);
     leader_->begin_term(now_, ++term_);
 }
 
--- a/tests/platform/platform_dialect_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -1,6 +1,6 @@
 // What the platform says and hears, held against the shapes that its pages give.
 
-#include "cedarpoint/fleet/dialect.h"
+#include "cedarpoint/fleet/platform_adapter.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -32,10 +32,10 @@
 std::optional<fleet_configuration> read(const json& document)
 {
     reason why;
-    return installed_dialect().read_configuration(document.dump(), why);
+    return installed_platform().read_configuration(document.dump(), why);
 }
 
-TEST(a_document, is_read_into_the_products_words)
+TEST(a_document, is_read_into_the_products_platform)
 {
     const auto out = read(valid_document());
     ASSERT_TRUE(out.has_value());
@@ -85,7 +85,7 @@
     }
     reason why;
     const auto whole = valid_document().dump();
-    EXPECT_FALSE(installed_dialect()
+    EXPECT_FALSE(installed_platform()
                      .read_configuration(std::string_view{whole}.substr(0, whole.size() / 2), why)
                      .has_value());
     EXPECT_FALSE(why.text.empty());
@@ -94,7 +94,7 @@
 TEST(a_heartbeat, tells_the_runner_and_its_group)
 {
     reason why;
-    const auto out = installed_dialect().read_announcement(
+    const auto out = installed_platform().read_announcement(
         runner_id{"i-7"},
         R"({"service":"pool","address":"10.0.0.9:8080","zone":"z1","version":"v1","slots":26,
             "state":"draining","models":[{"name":"m","version":1,"adapters":[]}],"sequence":4,
@@ -115,30 +115,30 @@
 TEST(a_heartbeat, that_makes_no_sense_is_refused)
 {
     reason why;
-    const auto& words = installed_dialect();
+    const auto& platform = installed_platform();
     for (
         const auto* body :
         {"", "{}", R"({"service":"s","address":"nowhere"})",
          R"({"service":1,"address":"1.1.1.1:1"})",
          R"({"service":"s","address":"1.1.1.1:1","group":{"name":"g","epoch":1,"state":"odd"}})"}) {
-        EXPECT_FALSE(words.read_announcement(runner_id{"i"}, body, why).has_value()) << body;
+        EXPECT_FALSE(platform.read_announcement(runner_id{"i"}, body, why).has_value()) << body;
     }
 }
 
 TEST(a_call, is_known_by_its_method_and_path)
 {
-    const auto& words = installed_dialect();
-    EXPECT_EQ(words.read_call("POST", "/cedarpoint/config/put").call,
+    const auto& platform = installed_platform();
+    EXPECT_EQ(platform.read_call("POST", "/cedarpoint/config/put").call,
               control_call::put_configuration);
-    EXPECT_EQ(words.read_call("GET", "/cedarpoint/config/get").call,
+    EXPECT_EQ(platform.read_call("GET", "/cedarpoint/config/get").call,
               control_call::get_configuration);
-    const auto beat = words.read_call("POST", "/cedarpoint/instances/i-7/heartbeat");
+    const auto beat = platform.read_call("POST", "/cedarpoint/instances/i-7/heartbeat");
     EXPECT_EQ(beat.call, control_call::heartbeat);
     EXPECT_EQ(beat.runner.str(), "i-7");
-    EXPECT_EQ(words.read_call("POST", "/cedarpoint/instances/i-7/deregister").call,
+    EXPECT_EQ(platform.read_call("POST", "/cedarpoint/instances/i-7/deregister").call,
               control_call::deregister);
-    EXPECT_EQ(words.read_call("GET", "/cedarpoint/config/put").call, control_call::unknown);
-    EXPECT_EQ(words.read_call("POST", "/cedarpoint/instances/i-7").call, control_call::unknown);
+    EXPECT_EQ(platform.read_call("GET", "/cedarpoint/config/put").call, control_call::unknown);
+    EXPECT_EQ(platform.read_call("POST", "/cedarpoint/instances/i-7").call, control_call::unknown);
 }
 
 TEST(an_order, carries_its_fence_and_names_its_group)
@@ -150,15 +150,15 @@
     order.fence = 3;
     order.model = model_id{"m"};
     order.members = {runner_id{"i-1"}, runner_id{"i-2"}};
-    const auto& words = installed_dialect();
-    EXPECT_EQ(json::parse(words.write_order(order)),
+    const auto& platform = installed_platform();
+    EXPECT_EQ(json::parse(platform.write_order(order)),
               json::parse(R"({"op":"join","group":"g","epoch":12,"model":"m",
                               "members":["i-1","i-2"],"fencingToken":3})"));
     order.kind = order_kind::leave;
-    EXPECT_EQ(json::parse(words.write_order(order)),
+    EXPECT_EQ(json::parse(platform.write_order(order)),
               json::parse(R"({"op":"leave","group":"g","epoch":12,"fencingToken":3})"));
     order.kind = order_kind::stage;
-    EXPECT_EQ(json::parse(words.write_order(order)),
+    EXPECT_EQ(json::parse(platform.write_order(order)),
               json::parse(R"({"op":"stage","model":"m","fencingToken":3})"));
 }
 
