--- a/include/cedarpoint/config/fleet_settings.h
+++ b/include/cedarpoint/config/fleet_settings.h
@@ -4,7 +4,7 @@
 #include "cedarpoint/core/endpoint.h"
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/core/time.h"
-#include "cedarpoint/fleet/window_budget.h"
+#include "cedarpoint/fleet/retry_budget_options.h"
 
 #include <optional>
 #include <string>
@@ -37,7 +37,7 @@
     milliseconds heartbeat{1200};     ///< between two heartbeats of a runner
     milliseconds stall{4000};         ///< a head without its members breaks after this
     milliseconds stop_bound{8000};    ///< a planned stop ends within this
-    budget_options budget;            ///< entry: repeats beyond first attempts
+    retry_budget_options budget;      ///< entry: repeats beyond first attempts
     bool json_logs = false;
 
     /// Reads a settings file. Empty if anything is wrong; `out` then names every fault.
--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -4,7 +4,7 @@
 #include "cedarpoint/admission/wait_queue.h"
 #include "cedarpoint/config/configuration.h"
 #include "cedarpoint/request/actions.h"
-#include "cedarpoint/request/retry_budget.h"
+#include "cedarpoint/request/token_retry_budget.h"
 #include "cedarpoint/routing/router.h"
 #include "cedarpoint/sessions/session_table.h"
 
@@ -131,7 +131,7 @@
     router router_;
     session_table sessions_;
     account_limits limits_;
-    retry_budget budget_;
+    token_retry_budget budget_;
     std::unordered_map<request_id, exchange> exchanges_;
     std::unordered_map<std::uint64_t, request_id> attempts_;
     std::unordered_map<std::string, wait_queue> lanes_;
--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-void read_budget(json_reader& in, budget_options& out)
+void read_budget(json_reader& in, retry_budget_options& out)
 {
     constexpr double most_slack = 1e6;
     out.ratio = in.number_or("ratio", out.ratio, 0, 1);
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -3,7 +3,7 @@
 #include "cedarpoint/fleet/platform_adapter.h"
 #include "cedarpoint/fleet/route_table.h"
 #include "cedarpoint/fleet/target_set.h"
-#include "cedarpoint/fleet/window_budget.h"
+#include "cedarpoint/fleet/windowed_retry_budget.h"
 #include "entry/entry_metrics.h"
 #include "io/runner_pool.h"
 
@@ -24,7 +24,7 @@
     const platform_adapter& platform;
     std::shared_ptr<const route_table> routes; ///< null before the first configuration
     target_set targets;
-    window_budget budget;
+    windowed_retry_budget budget;
     runner_pool pool;
     entry_metrics figures;
     std::size_t daemons = 0; ///< entry daemons that share limits; 0: not known yet
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -35,7 +35,7 @@
     : own_{std::move(own)}, context_{installed_platform(),
                                      nullptr,
                                      target_set{own_.failure_domain, random_seed()},
-                                     window_budget{own_.budget},
+                                     windowed_retry_budget{own_.budget},
                                      {},
                                      {},
                                      1,
--- /dev/null
+++ b/src/fleet/windowed_retry_budget.cpp
@@ -0,0 +1,62 @@
+#include "cedarpoint/fleet/windowed_retry_budget.h"
+
+namespace cedarpoint {
+namespace {
+
+/// Requests are counted in buckets of this width, so that memory does not grow with traffic. Not
+/// measured; 40 buckets a window.
+constexpr duration bucket_width = milliseconds{250};
+
+void drop_before(std::deque<std::pair<instant, int>>& buckets, instant oldest)
+{
+    while (!buckets.empty() && buckets.front().first < oldest) {
+        buckets.pop_front();
+    }
+}
+
+} // namespace
+
+void windowed_retry_budget::count(std::deque<bucket>& into, instant now)
+{
+    if (into.empty() || now - into.back().first >= bucket_width) {
+        into.emplace_back(now, 0);
+    }
+    ++into.back().second;
+}
+
+int windowed_retry_budget::sum(const std::deque<bucket>& in)
+{
+    int out = 0;
+    for (const auto& [begun, count] : in) {
+        out += count;
+    }
+    return out;
+}
+
+void windowed_retry_budget::forget_old(instant now)
+{
+    // A bucket's requests came at any time within it: retries count a bucket longer than the
+    // window, first attempts a bucket less, so that the bound holds for every window.
+    drop_before(first_attempts_, now - options_.window + bucket_width);
+    drop_before(retries_, now - options_.window - bucket_width);
+}
+
+void windowed_retry_budget::on_first_attempt(instant now)
+{
+    forget_old(now);
+    count(first_attempts_, now);
+}
+
+bool windowed_retry_budget::take(instant now, std::size_t daemons)
+{
+    forget_old(now);
+    const auto slack = daemons == 0 ? 0 : options_.slack / static_cast<double>(daemons);
+    const auto most = options_.safety * (options_.ratio * sum(first_attempts_) + slack);
+    if (sum(retries_) + 1 > most) {
+        return false;
+    }
+    count(retries_, now);
+    return true;
+}
+
+} // namespace cedarpoint
