--- a/include/cedarpoint/fleet/fleet_state.h
+++ b/include/cedarpoint/fleet/fleet_state.h
@@ -1,7 +1,9 @@
 #pragma once
 
 #include "cedarpoint/consensus/replicated_log.h"
+#include "cedarpoint/core/endpoint.h"
 #include "cedarpoint/core/ids.h"
+#include "cedarpoint/core/units.h"
 #include "control.pb.h"
 
 #include <cstdint>
@@ -9,12 +11,33 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <vector>
 
 namespace cedarpoint {
 
-/// What the control daemons agree on: the configuration, where the highest version holds; the
-/// runners that have announced themselves, and those that have said that they leave; the groups
-/// whose head may be open. A new leader begins with these, before it has heard anyone.
+/// A runner's first announcement, as the log keeps it.
+struct registered_runner {
+    runner_id runner;
+    service_id service;
+    endpoint address;
+    failure_domain_id failure_domain;
+    fabric_domain_id fabric_domain;
+    int slots = 0;
+};
+
+/// A group whose members were all ready: its head may be open from this entry of the log on.
+struct formed_group {
+    group_id name;
+    epoch assignment;
+    service_id service;
+    model_id model;
+    std::vector<runner_id> members; ///< the head first
+};
+
+/// What the control daemons agree on: the configuration, of which the highest version holds; the
+/// runners that have announced themselves and those that are leaving or gone; the groups whose head
+/// may be open. A new leader begins with these, before it has heard from anyone. Outlives the
+/// process: `save` and `restore` read and write the snapshot, `apply` the commands in the log.
 class fleet_state final : public replicated_state {
 public:
     std::string apply(const std::string& command) override;
@@ -22,39 +45,47 @@
     bool restore(const std::string& bytes) override;
 
     [[nodiscard]] std::uint64_t version() const { return configuration_.revision(); }
+    /// As it is kept in the log and passed on in the view, packed.
     [[nodiscard]] const wire::accepted_configuration& configuration() const
     {
         return configuration_;
     }
     /// The text of the configuration as the operator sent it; empty if there is none.
     [[nodiscard]] std::string document() const;
+    /// True if the runner drains or is gone; neither is ever taken back.
     [[nodiscard]] bool is_leaving(const runner_id& runner) const;
     [[nodiscard]] bool is_gone(const runner_id& runner) const;
-    /// Grows with every change.
-    [[nodiscard]] std::uint64_t changes() const { return changes_; }
-
-    [[nodiscard]] const std::map<runner_id, wire::registration>& registrations() const
+    [[nodiscard]] const std::map<runner_id, registered_runner>& registrations() const
     {
         return registrations_;
     }
-    [[nodiscard]] const std::map<group_id, wire::formed_group>& groups() const { return groups_; }
+    [[nodiscard]] const std::map<group_id, formed_group>& groups() const { return groups_; }
 
-    static std::string put_configuration(std::uint64_t version, const std::string& document);
-    static std::string depart(const runner_id& runner, bool gone);
+    // Commands for the log.
+    [[nodiscard]] static std::string put_configuration(std::uint64_t version,
+                                                       const std::string& document);
+    /// `gone`: the runner has ended; otherwise it drains.
+    [[nodiscard]] static std::string depart(const runner_id& runner, bool gone);
+    [[nodiscard]] static std::string add_runner(const registered_runner& runner);
+    /// The runner has been silent for so long that it is forgotten.
+    [[nodiscard]] static std::string remove_runner(const runner_id& runner);
+    [[nodiscard]] static std::string form_group(const formed_group& group);
+    /// The group's head is not open any more and will not be again.
+    [[nodiscard]] static std::string end_group(const group_id& group);
 
 private:
-    void note_registration(const wire::registration& in);
+    void note_registration(registered_runner in);
     void note_departure(const wire::departure& in);
 
-    /// Runners have a new id at each start, so old marks only cost room.
+    /// Departures that are remembered. Runners have a new id at each start, so old ones only take
+    /// up room. Not measured.
     static constexpr std::size_t most_departures = 20'000;
 
     wire::accepted_configuration configuration_;
     std::map<runner_id, bool> departures_; ///< true: gone
     std::deque<runner_id> departure_order_;
-    std::map<runner_id, wire::registration> registrations_;
-    std::map<group_id, wire::formed_group> groups_;
-    std::uint64_t changes_ = 0;
+    std::map<runner_id, registered_runner> registrations_;
+    std::map<group_id, formed_group> groups_;
 };
 
 /// The text of a configuration that came with a view or out of the log; empty if it is damaged.
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -191,7 +191,7 @@
     void enter(instant now, planned_group& group, plan_phase phase, const std::string& why);
     void finish(instant now, planned_group& group, const std::string& why);
     void tell(const planned_group& group, const std::string& why) const;
-    void record(const wire::fleet_command& command);
+    void record(std::string command);
     void record_formed(const planned_group& group);
     void inherit_groups(instant now);
     [[nodiscard]] bool is_doubted(const runner_id& runner, int looks) const;
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -52,24 +52,22 @@
 {
     std::map<runner_id, group_membership> memberships;
     for (const auto& [name, group] : state_.groups()) {
-        for (int rank = 0; rank < group.members_size(); ++rank) {
-            memberships[runner_id{group.members(rank)}] = {
-                name, epoch{group.epoch()}, static_cast<std::size_t>(rank),
-                rank == 0 ? member_phase::open : member_phase::ready};
+        for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
+            memberships[group.members[rank]] = {
+                name, group.assignment, rank, rank == 0 ? member_phase::open : member_phase::ready};
         }
     }
     for (const auto& [runner, registration] : state_.registrations()) {
-        const auto address = endpoint::parse(registration.address());
-        if (!address || state_.is_gone(runner)) {
+        if (state_.is_gone(runner)) {
             continue;
         }
         announcement assumed;
         assumed.id = runner;
-        assumed.service = service_id{registration.service()};
-        assumed.address = *address;
-        assumed.failure_domain = failure_domain_id{registration.failure_domain()};
-        assumed.fabric_domain = fabric_domain_id{registration.fabric_domain()};
-        assumed.slots = static_cast<int>(registration.slots());
+        assumed.service = registration.service;
+        assumed.address = registration.address;
+        assumed.failure_domain = registration.failure_domain;
+        assumed.fabric_domain = registration.fabric_domain;
+        assumed.slots = registration.slots;
         if (const auto found = memberships.find(runner); found != memberships.end()) {
             assumed.membership = found->second;
         }
@@ -97,9 +95,7 @@
     take_configuration();
     auto steps = std::exchange(records_, {});
     for (const auto& runner : registry_.forget_silent(now, forget_after)) {
-        wire::fleet_command command;
-        command.mutable_lost()->set_runner(runner.str());
-        steps.push_back({planner_step::kind_t::record, {}, command.SerializeAsString()});
+        steps.push_back({planner_step::kind_t::record, {}, fleet_state::remove_runner(runner)});
     }
     auto planned = planner_.tick(now);
     steps.insert(steps.end(), std::make_move_iterator(planned.begin()),
@@ -114,15 +110,11 @@
     }
     planner_.on_look_answered(in.id);
     if (!state_.registrations().contains(in.id)) {
-        wire::fleet_command command;
-        auto& out = *command.mutable_registration();
-        out.set_runner(in.id.str());
-        out.set_service(in.service.str());
-        out.set_address(in.address.str());
-        out.set_failure_domain(in.failure_domain.str());
-        out.set_fabric_domain(in.fabric_domain.str());
-        out.set_slots(static_cast<std::uint32_t>(in.slots));
-        records_.push_back({planner_step::kind_t::record, {}, command.SerializeAsString()});
+        records_.push_back(
+            {planner_step::kind_t::record,
+             {},
+             fleet_state::add_runner(
+                 {in.id, in.service, in.address, in.failure_domain, in.fabric_domain, in.slots})});
     }
     return true;
 }
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -2,11 +2,67 @@
 
 #include "cedarpoint/core/packing.h"
 
+#include <utility>
+
 namespace cedarpoint {
 namespace {
 
+/// Bounds what a packed document may unpack to; calls of operators are bounded to 16 MB.
 constexpr std::size_t most_document_bytes = 64 << 20;
 
+/// Empty if the address is not valid; the log never holds such a runner.
+std::optional<registered_runner> decode(const wire::registration& in)
+{
+    const auto address = endpoint::parse(in.address());
+    if (!address) {
+        return {};
+    }
+    return registered_runner{runner_id{in.runner()},
+                             service_id{in.service()},
+                             *address,
+                             failure_domain_id{in.failure_domain()},
+                             fabric_domain_id{in.fabric_domain()},
+                             static_cast<int>(in.slots())};
+}
+
+wire::registration encode(const registered_runner& in)
+{
+    wire::registration out;
+    out.set_runner(in.runner.str());
+    out.set_service(in.service.str());
+    out.set_address(in.address.str());
+    out.set_failure_domain(in.failure_domain.str());
+    out.set_fabric_domain(in.fabric_domain.str());
+    out.set_slots(static_cast<std::uint32_t>(in.slots));
+    return out;
+}
+
+formed_group decode(const wire::formed_group& in)
+{
+    formed_group out;
+    out.name = group_id{in.name()};
+    out.assignment = epoch{in.epoch()};
+    out.service = service_id{in.service()};
+    out.model = model_id{in.model()};
+    for (const auto& member : in.members()) {
+        out.members.emplace_back(member);
+    }
+    return out;
+}
+
+wire::formed_group encode(const formed_group& in)
+{
+    wire::formed_group out;
+    out.set_name(in.name.str());
+    out.set_epoch(in.assignment.value);
+    out.set_service(in.service.str());
+    out.set_model(in.model.str());
+    for (const auto& member : in.members) {
+        out.add_members(member.str());
+    }
+    return out;
+}
+
 } // namespace
 
 std::optional<std::string> read_document(const wire::accepted_configuration& in)
@@ -36,22 +92,50 @@
     return out.SerializeAsString();
 }
 
+std::string fleet_state::add_runner(const registered_runner& runner)
+{
+    wire::fleet_command out;
+    *out.mutable_registration() = encode(runner);
+    return out.SerializeAsString();
+}
+
+std::string fleet_state::remove_runner(const runner_id& runner)
+{
+    wire::fleet_command out;
+    out.mutable_lost()->set_runner(runner.str());
+    return out.SerializeAsString();
+}
+
+std::string fleet_state::form_group(const formed_group& group)
+{
+    wire::fleet_command out;
+    *out.mutable_formed() = encode(group);
+    return out.SerializeAsString();
+}
+
+std::string fleet_state::end_group(const group_id& group)
+{
+    wire::fleet_command out;
+    out.mutable_ended()->set_name(group.str());
+    return out.SerializeAsString();
+}
+
 std::string fleet_state::apply(const std::string& command)
 {
+    // A command that can't be read was written by a later version: it changes nothing here.
     wire::fleet_command in;
     if (in.ParseFromString(command)) {
         if (in.has_configuration() && in.configuration().revision() > configuration_.revision()) {
             configuration_.Swap(in.mutable_configuration());
-            ++changes_;
         }
         if (in.has_departure()) {
             note_departure(in.departure());
         }
-        if (in.has_registration()) {
-            note_registration(in.registration());
+        if (auto runner = decode(in.registration()); in.has_registration() && runner) {
+            note_registration(std::move(*runner));
         }
         if (in.has_formed()) {
-            groups_[group_id{in.formed().name()}] = in.formed();
+            groups_[group_id{in.formed().name()}] = decode(in.formed());
         }
         if (in.has_ended()) {
             groups_.erase(group_id{in.ended().name()});
@@ -65,12 +149,13 @@
     return out.SerializeAsString();
 }
 
-void fleet_state::note_registration(const wire::registration& in)
+void fleet_state::note_registration(registered_runner in)
 {
     // An address belongs to the runner that announced itself there last.
     std::erase_if(registrations_,
-                  [&](const auto& each) { return each.second.address() == in.address(); });
-    registrations_[runner_id{in.runner()}] = in;
+                  [&](const auto& each) { return each.second.address == in.address; });
+    const auto runner = in.runner;
+    registrations_[runner] = std::move(in);
 }
 
 void fleet_state::note_departure(const wire::departure& in)
@@ -81,7 +166,6 @@
         departure_order_.push_back(runner);
     }
     found->second = found->second || in.gone();
-    ++changes_;
     while (departure_order_.size() > most_departures) {
         departures_.erase(departure_order_.front());
         departure_order_.pop_front();
@@ -109,10 +193,10 @@
         mark->set_gone(departures_.at(runner));
     }
     for (const auto& [runner, registration] : registrations_) {
-        *out.add_registrations() = registration;
+        *out.add_registrations() = encode(registration);
     }
     for (const auto& [name, group] : groups_) {
-        *out.add_groups() = group;
+        *out.add_groups() = encode(group);
     }
     return out.SerializeAsString();
 }
@@ -129,15 +213,16 @@
     registrations_.clear();
     groups_.clear();
     for (const auto& each : in.registrations()) {
-        registrations_[runner_id{each.runner()}] = each;
+        if (auto runner = decode(each)) {
+            registrations_[runner->runner] = std::move(*runner);
+        }
     }
     for (const auto& each : in.groups()) {
-        groups_[group_id{each.name()}] = each;
+        groups_[group_id{each.name()}] = decode(each);
     }
     for (const auto& mark : in.departures()) {
         note_departure(mark);
     }
-    ++changes_;
     return true;
 }
 
--- a/src/fleet/group_planner.cpp
+++ b/src/fleet/group_planner.cpp
@@ -62,39 +62,31 @@
     for (const auto& [name, formed] : state_.groups()) {
         planned_group group;
         group.name = name;
-        group.assignment = epoch{formed.epoch()};
-        group.service = service_id{formed.service()};
-        group.model = model_id{formed.model()};
-        for (const auto& member : formed.members()) {
-            group.members.emplace_back(member);
-            placed_[runner_id{member}] = name;
-            last_model_[runner_id{member}] = group.model;
+        group.assignment = formed.assignment;
+        group.service = formed.service;
+        group.model = formed.model;
+        group.members = formed.members;
+        for (const auto& member : formed.members) {
+            placed_[member] = name;
+            last_model_[member] = group.model;
         }
         auto& kept = groups_[name] = std::move(group);
         enter(now, kept, plan_phase::serving, "inherited");
     }
 }
 
-void group_planner::record(const wire::fleet_command& command)
+void group_planner::record(std::string command)
 {
     planner_step step;
     step.kind = planner_step::kind_t::record;
-    step.command = command.SerializeAsString();
+    step.command = std::move(command);
     steps_.push_back(std::move(step));
 }
 
 void group_planner::record_formed(const planned_group& group)
 {
-    wire::fleet_command command;
-    auto& formed = *command.mutable_formed();
-    formed.set_name(group.name.str());
-    formed.set_epoch(group.assignment.value);
-    formed.set_service(group.service.str());
-    formed.set_model(group.model.str());
-    for (const auto& member : group.members) {
-        formed.add_members(member.str());
-    }
-    record(command);
+    record(fleet_state::form_group(
+        {group.name, group.assignment, group.service, group.model, group.members}));
 }
 
 bool group_planner::is_doubted(const runner_id& runner, int looks) const
@@ -487,9 +479,7 @@
     }
     finished_.insert(group.name);
     if (state_.groups().contains(group.name)) {
-        wire::fleet_command command;
-        command.mutable_ended()->set_name(group.name.str());
-        record(command);
+        record(fleet_state::end_group(group.name));
     }
     tell(group, "ended: " + why);
 }
--- a/src/fleet/provisional_view.cpp
+++ b/src/fleet/provisional_view.cpp
@@ -5,29 +5,31 @@
 namespace cedarpoint {
 namespace {
 
-void add_runner(wire::fleet_update& out, const wire::registration& in, std::uint32_t slots)
+void add_runner(wire::fleet_update& out, const registered_runner& in, int slots)
 {
     auto& item = *out.add_items();
-    item.set_key(runner_key(in.runner()));
+    item.set_key(runner_key(in.runner.str()));
     auto& runner = *item.mutable_runner();
-    runner.set_id(in.runner());
-    runner.set_service(in.service());
-    runner.set_address(in.address());
-    runner.set_failure_domain(in.failure_domain());
-    runner.set_slots(slots);
+    runner.set_id(in.runner.str());
+    runner.set_service(in.service.str());
+    runner.set_address(in.address.str());
+    runner.set_failure_domain(in.failure_domain.str());
+    runner.set_slots(static_cast<std::uint32_t>(slots));
     runner.set_accepting(true);
 }
 
-void add_group(wire::fleet_update& out, const wire::formed_group& in)
+void add_group(wire::fleet_update& out, const formed_group& in)
 {
     auto& item = *out.add_items();
-    item.set_key(group_key(in.name()));
+    item.set_key(group_key(in.name.str()));
     auto& group = *item.mutable_group();
-    group.set_name(in.name());
-    group.set_epoch(in.epoch());
-    group.set_service(in.service());
-    group.set_model(in.model());
-    *group.mutable_members() = in.members();
+    group.set_name(in.name.str());
+    group.set_epoch(in.assignment.value);
+    group.set_service(in.service.str());
+    group.set_model(in.model.str());
+    for (const auto& member : in.members) {
+        group.add_members(member.str());
+    }
     group.set_accepting(true);
 }
 
@@ -46,19 +48,19 @@
     *accepted.mutable_configuration() = state.configuration();
     const auto& runners = state.registrations();
     for (const auto& [name, group] : state.groups()) {
-        const auto head = runners.find(runner_id{group.members(0)});
-        const auto* service = configuration.find_service(service_id{group.service()});
+        const auto head = runners.find(group.members.front());
+        const auto* service = configuration.find_service(group.service);
         if (head == runners.end() || service == nullptr || !service->engine) {
             continue;
         }
         add_group(out, group);
-        add_runner(out, head->second, static_cast<std::uint32_t>(service->engine->slots));
+        add_runner(out, head->second, service->engine->slots);
     }
     for (const auto& [runner, registration] : runners) {
-        const auto* service = configuration.find_service(service_id{registration.service()});
+        const auto* service = configuration.find_service(registration.service);
         const bool plain = service == nullptr || !service->engine;
         if (plain && !state.is_leaving(runner)) {
-            add_runner(out, registration, registration.slots());
+            add_runner(out, registration, registration.slots);
         }
     }
     return out;
