--- /dev/null
+++ b/include/cedarpoint/core/parse_integer.h
@@ -0,0 +1,12 @@
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string_view>
+
+namespace cedarpoint {
+
+/// Reads a decimal number; empty unless all of `text` is one.
+std::optional<std::int64_t> parse_integer(std::string_view text);
+
+} // namespace cedarpoint
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include "cedarpoint/fleet/health_report.h"
 #include "cedarpoint/fleet/platform_adapter.h"
 #include "cedarpoint/fleet/route_table.h"
 #include "cedarpoint/fleet/target_set.h"
@@ -7,18 +8,13 @@
 #include "entry/entry_metrics.h"
 #include "io/runner_pool.h"
 
+#include <cstddef>
 #include <map>
 #include <memory>
 #include <random>
 
 namespace cedarpoint {
 
-/// Requests for a model since the leader was told last.
-struct demand_count {
-    std::uint32_t started = 0;
-    std::uint32_t refused = 0;
-};
-
 /// What the requests of one entry daemon share.
 struct entry_context {
     const platform_adapter& platform;
@@ -26,10 +22,10 @@
     target_set targets;
     windowed_retry_budget budget;
     runner_pool pool;
-    entry_metrics figures;
-    std::size_t daemons = 0; ///< entry daemons that share limits; 0: not known yet
+    entry_metrics metrics;
+    std::size_t entry_daemons = 0; ///< that share the retry budget; 0: not known yet
     std::mt19937_64 random;
-    std::map<model_id, demand_count> demand;
+    std::map<model_id, model_demand> demand; ///< since the latest report
     bool stopping = false;
 };
 
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -1,26 +1,34 @@
 #include "entry/entry_daemon.h"
 
+#include "cedarpoint/fleet/fleet_messages.h"
 #include "cedarpoint/fleet/fleet_state.h"
 #include "io/clock.h"
 #include "io/log_line.h"
 #include "io/simple_listeners.h"
 
 #include <random>
+#include <utility>
 
 namespace cedarpoint {
 namespace {
 
+/// Time between two ticks. Not measured.
 constexpr int tick_ms = 20;
-/// Until the balancer has seen two misses, callers still come.
+/// After a planned stop has begun, callers still come for this long: the balancer asks every second
+/// and takes a daemon out after two misses. A second is left for what is on its way.
 constexpr duration balancer_patience = milliseconds{3000};
-/// Left of the stop bound when what still runs is broken off.
+/// Left of the stop bound when what still runs is broken off. Not measured.
 constexpr duration stop_margin = milliseconds{700};
+/// Connections of callers at a time. Not measured.
+constexpr std::size_t most_caller_connections = 2000;
+/// Of a request; twice the limit in the users' own configuration (4 MiB).
+constexpr std::size_t most_caller_body = std::size_t{8} << 20;
 
-caller_limits limits_of()
+caller_limits limits_of_callers()
 {
     caller_limits out;
-    out.max_connections = 2000;
-    out.max_body_bytes = std::size_t{8} << 20;
+    out.max_connections = most_caller_connections;
+    out.max_body_bytes = most_caller_body;
     return out;
 }
 
@@ -32,35 +40,19 @@
 } // namespace
 
 entry_daemon::entry_daemon(fleet_settings own)
-    : own_{std::move(own)}, context_{installed_platform(),
-                                     nullptr,
-                                     target_set{own_.failure_domain, random_seed()},
-                                     windowed_retry_budget{own_.budget},
-                                     {},
-                                     {},
-                                     1,
-                                     std::mt19937_64{random_seed()},
-                                     {},
-                                     false},
-      follower_{own_,
-                {[this](const daemon_id& to, wire::envelope out) {
-                     out.set_from(own_.address.str());
-                     mesh_.add_peer(to);
-                     mesh_.send(to, out);
-                 },
-                 [this](wire::fleet_follow& out) { fill(out); },
-                 [this](view_copy::outcome outcome) { on_view(outcome); },
-                 [this](const wire::fleet_update& update) {
-                     reach_.check(steady_now(), update);
-                     context_.targets.update_loads(update);
-                 },
-                 [](const daemon_id& leader, bool found) {
-                     log_line(found ? "dependency_regained" : "dependency_lost")
-                         .with("kind", "control leader")
-                         .with("peer", leader.str())
-                         .write();
-                 }}},
-      mesh_{[this](const wire::envelope& in) { follower_.receive(steady_now(), in); }}
+    : own_{std::move(own)}, context_{.platform = installed_platform(),
+                                     .routes = nullptr,
+                                     .targets = target_set{own_.failure_domain, random_seed()},
+                                     .budget = windowed_retry_budget{own_.budget},
+                                     .pool = {},
+                                     .metrics = {},
+                                     .entry_daemons = 0, // not known yet
+                                     .random = std::mt19937_64{random_seed()},
+                                     .demand = {},
+                                     .stopping = false},
+      follower_{own_, make_follower_hooks()}, mesh_{[this](const wire::envelope& in) {
+          follower_.receive(steady_now(), in);
+      }}
 {
 }
 
@@ -70,6 +62,28 @@
     ended_.clear();
 }
 
+fleet_follower::hooks entry_daemon::make_follower_hooks()
+{
+    fleet_follower::hooks out;
+    out.send = [this](const daemon_id& to, wire::envelope message) {
+        message.set_from(own_.address.str());
+        mesh_.add_peer(to);
+        mesh_.send(to, message);
+    };
+    out.make_report = [this] { return make_report(); };
+    out.on_view = [this](view_copy::outcome outcome) { on_view(outcome); };
+    out.on_update = [this](const wire::fleet_update& update) { on_update(update); };
+    out.on_leader = [](const daemon_id& leader, bool found) {
+        log_line(found ? "dependency_regained" : "dependency_lost")
+            .with("kind", "control leader")
+            .with("peer", leader.str())
+            .write();
+    };
+    return out;
+}
+
+// --- start and stop -----------------------------------------------------------------------------
+
 std::unique_ptr<entry_daemon> entry_daemon::start(fleet_settings own, reason& why)
 {
     std::unique_ptr<entry_daemon> out{new entry_daemon{std::move(own)}};
@@ -81,24 +95,10 @@
 
 bool entry_daemon::open(reason& why)
 {
-    if (!mesh_.start_open(own_.bind.value_or(own_.address), why)) {
-        return false;
-    }
-    callers_ = std::make_unique<http_listener>(
-        limits_of(), [this](http_request request, const std::shared_ptr<http_reply>& reply) {
-            on_request(std::move(request), reply);
-        });
-    ready_ = make_ready_listener([this] { return is_ready(); });
-    if (!callers_->start(*own_.callers, why) || !ready_->start(*own_.ready, why)) {
+    if (!mesh_.start_open(own_.bind.value_or(own_.address), why) || !open_listeners(why)) {
         return false;
     }
-    if (own_.metrics) {
-        metrics_ = make_metrics_listener([this] { return context_.figures.text(); });
-        if (!metrics_->start(*own_.metrics, why)) {
-            return false;
-        }
-    }
-    reach_.on_result = [this] { follower_.hurry(); };
+    reachability_.on_result = [this] { follower_.hurry(); };
     QObject::connect(&timer_, &QTimer::timeout, [this] { tick(); });
     timer_.start(tick_ms);
     log_line("started")
@@ -111,11 +111,63 @@
     return true;
 }
 
+bool entry_daemon::open_listeners(reason& why)
+{
+    callers_listener_ = std::make_unique<http_listener>(
+        limits_of_callers(),
+        [this](http_request request, const std::shared_ptr<http_reply>& reply) {
+            on_request(std::move(request), reply);
+        });
+    ready_listener_ = make_ready_listener([this] { return is_ready(); });
+    if (!callers_listener_->start(*own_.callers, why) ||
+        !ready_listener_->start(*own_.ready, why)) {
+        return false;
+    }
+    if (!own_.metrics) {
+        return true;
+    }
+    metrics_listener_ = make_metrics_listener([this] { return context_.metrics.text(); });
+    return metrics_listener_->start(*own_.metrics, why);
+}
+
 bool entry_daemon::is_ready() const
 {
     return !context_.stopping && context_.routes != nullptr;
 }
 
+void entry_daemon::stop()
+{
+    if (context_.stopping) {
+        return;
+    }
+    context_.stopping = true;
+    stop_began_ = steady_now();
+    log_line("stopping").with("in_flight", requests_.size()).write();
+}
+
+bool entry_daemon::is_stop_due(instant now)
+{
+    const auto passed = now - stop_began_;
+    if (!closing_ && passed >= balancer_patience) {
+        closing_ = true;
+        callers_listener_->stop();
+    }
+    const bool idle = closing_ && requests_.empty() && callers_listener_->connections() == 0;
+    return idle || passed >= own_.stop_bound - stop_margin;
+}
+
+void entry_daemon::check_stop(instant now)
+{
+    if (!context_.stopping || !is_stop_due(now)) {
+        return;
+    }
+    log_line("stopped").with("cut", requests_.size()).write();
+    timer_.stop();
+    on_stopped();
+}
+
+// --- the view -----------------------------------------------------------------------------------
+
 void entry_daemon::tick()
 {
     const auto now = steady_now();
@@ -123,26 +175,26 @@
     mesh_.drain();
     follower_.tick(now);
     mesh_.drain();
-    context_.figures.set_view(static_cast<double>(follower_.view().version()),
+    context_.metrics.set_view(static_cast<double>(follower_.view().version()),
                               now - follower_.heard());
-    context_.figures.set_in_flight(static_cast<double>(requests_.size()));
+    context_.metrics.set_in_flight(static_cast<double>(requests_.size()));
     check_stop(now);
 }
 
 void entry_daemon::on_view(view_copy::outcome outcome)
 {
-    context_.daemons = follower_.followers();
+    context_.entry_daemons = follower_.followers();
     if (outcome != view_copy::outcome::applied) {
         return;
     }
     const auto& view = follower_.view();
-    const auto* accepted = view.configuration();
     const auto held = context_.routes == nullptr ? 0 : context_.routes->version();
+    const auto* accepted = view.configuration();
     if (accepted != nullptr && accepted->revision() > held &&
-        accepted->revision() != refused_version_) {
+        accepted->revision() != unreadable_version_) {
         take_configuration(*accepted);
     }
-    context_.targets.update(view.items());
+    context_.targets.update(decode(view.items()));
     for (const auto& each : std::vector(requests_.begin(), requests_.end())) {
         each->on_targets_changed();
     }
@@ -160,10 +212,10 @@
     const auto document = read_document(accepted);
     auto read = context_.platform.read_configuration(document.value_or(""), why);
     if (!read) {
-        refused_version_ = accepted.revision();
+        unreadable_version_ = accepted.revision();
         log_line("configuration_unreadable")
             .with("version", accepted.revision())
-            .with("reason", why.str())
+            .with("reason", document ? why.str() : "the packed document is damaged")
             .write();
         return;
     }
@@ -171,19 +223,29 @@
     log_line("in_force").with("version", accepted.revision()).write();
 }
 
-void entry_daemon::fill(wire::fleet_follow& out)
+void entry_daemon::on_update(const wire::fleet_update& update)
+{
+    reachability_.check(steady_now(), decode_suspects(update));
+    if (const auto loads = decode_loads(update)) {
+        context_.targets.update_loads(*loads);
+    }
+}
+
+health_report entry_daemon::make_report()
 {
     const auto now = steady_now();
-    context_.targets.add_sightings(now, out);
-    reach_.fill(now, out);
+    health_report out;
+    out.runners = context_.targets.take_observations(now);
+    out.demand = context_.demand;
     for (auto& [model, count] : context_.demand) {
-        auto* each = out.add_demand();
-        each->set_model(model.str());
-        each->set_started(std::exchange(count.started, 0));
-        each->set_refused(std::exchange(count.refused, 0));
+        count = {};
     }
+    reachability_.add_checks(now, out);
+    return out;
 }
 
+// --- requests -----------------------------------------------------------------------------------
+
 void entry_daemon::on_request(http_request request, const std::shared_ptr<http_reply>& reply)
 {
     const auto next = std::make_shared<relay>(context_, std::move(request), reply,
@@ -195,33 +257,4 @@
     next->start();
 }
 
-void entry_daemon::stop()
-{
-    if (context_.stopping) {
-        return;
-    }
-    context_.stopping = true;
-    stop_began_ = steady_now();
-    log_line("stopping").with("in_flight", requests_.size()).write();
-}
-
-void entry_daemon::check_stop(instant now)
-{
-    if (!context_.stopping) {
-        return;
-    }
-    const auto passed = now - stop_began_;
-    if (!closing_ && passed >= balancer_patience) {
-        closing_ = true;
-        callers_->stop();
-    }
-    const bool idle = closing_ && requests_.empty() && callers_->connections() == 0;
-    if (!idle && passed < own_.stop_bound - stop_margin) {
-        return;
-    }
-    log_line("stopped").with("cut", requests_.size()).write();
-    timer_.stop();
-    on_stopped();
-}
-
 } // namespace cedarpoint
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -3,7 +3,7 @@
 #include "cedarpoint/config/fleet_settings.h"
 #include "entry/entry_context.h"
 #include "entry/fleet_follower.h"
-#include "entry/reach_checker.h"
+#include "entry/reachability_checker.h"
 #include "entry/relay.h"
 #include "io/http_listener.h"
 #include "io/mesh.h"
@@ -17,7 +17,8 @@
 
 namespace cedarpoint {
 
-/// An entry daemon: takes callers' requests and follows the control daemons. Has no disk.
+/// An entry daemon: takes callers' requests and follows the control daemons. Has no disk. The
+/// sockets and timers round `relay`, one for each request, and `fleet_follower`.
 class entry_daemon {
 public:
     /// Empty with `why` if a listener can't be had.
@@ -38,23 +39,27 @@
     void check_stop(instant now);
     void on_view(view_copy::outcome outcome);
     void take_configuration(const wire::accepted_configuration& accepted);
-    void fill(wire::fleet_follow& out);
+    [[nodiscard]] fleet_follower::hooks make_follower_hooks();
+    [[nodiscard]] health_report make_report();
+    void on_update(const wire::fleet_update& update);
+    bool open_listeners(reason& why);
+    [[nodiscard]] bool is_stop_due(instant now);
     void on_request(http_request request, const std::shared_ptr<http_reply>& reply);
 
     fleet_settings own_;
     entry_context context_;
     fleet_follower follower_;
-    reach_checker reach_;
+    reachability_checker reachability_;
     mesh mesh_;
     std::set<std::shared_ptr<relay>> requests_;
     std::vector<std::shared_ptr<relay>> ended_; ///< kept until none of their calls is under way
-    std::unique_ptr<http_listener> callers_;
-    std::unique_ptr<http_listener> ready_;
-    std::unique_ptr<http_listener> metrics_;
+    std::unique_ptr<http_listener> callers_listener_;
+    std::unique_ptr<http_listener> ready_listener_;
+    std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
-    std::uint64_t refused_version_ = 0; ///< a configuration that could not be read
+    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be read
     instant stop_began_;
-    bool closing_ = false;
+    bool closing_ = false; ///< a planned stop that accepts no connections any more
 };
 
 } // namespace cedarpoint
--- a/src/entry/fleet_follower.cpp
+++ b/src/entry/fleet_follower.cpp
@@ -1,13 +1,19 @@
 #include "entry/fleet_follower.h"
 
+#include "cedarpoint/fleet/fleet_messages.h"
+
 #include <utility>
 
 namespace cedarpoint {
 namespace {
 
-constexpr duration word_interval = milliseconds{200};
-constexpr duration first_word_interval = milliseconds{50}; ///< before it knows anything
-constexpr duration leader_patience = milliseconds{900};
+/// Time between two reports. Not measured.
+constexpr duration report_interval = milliseconds{200};
+/// The same while this daemon has no view. Not measured.
+constexpr duration first_report_interval = milliseconds{50};
+/// A leader that did not answer for this long is looked for among all control daemons. Not
+/// measured; four reports.
+constexpr duration leader_silence = milliseconds{900};
 
 } // namespace
 
@@ -15,35 +21,35 @@
     : hooks_{std::move(hooks)}, failure_domain_{own.failure_domain.str()}
 {
     for (const auto& seed : own.seeds) {
-        known_.emplace(endpoint{seed.ip, own.address.port}.str());
+        control_daemons_.emplace(endpoint{seed.ip, own.address.port}.str());
     }
 }
 
 bool fleet_follower::has_leader(instant now) const
 {
-    return !leader_.empty() && now - heard_ < leader_patience;
+    return !leader_.empty() && now - heard_ < leader_silence;
 }
 
 void fleet_follower::tick(instant now)
 {
-    if (now < next_word_) {
+    if (now < next_report_) {
         return;
     }
-    next_word_ = now + (view_.version() == 0 ? first_word_interval : word_interval);
+    next_report_ = now + (view_.version() == 0 ? first_report_interval : report_interval);
     if (has_leader(now)) {
-        speak(leader_);
+        report_to(leader_);
         return;
     }
     if (!leader_.empty()) {
         hooks_.on_leader(leader_, false);
         leader_ = {};
     }
-    for (const auto& each : known_) {
-        speak(each);
+    for (const auto& each : control_daemons_) {
+        report_to(each);
     }
 }
 
-void fleet_follower::speak(const daemon_id& to)
+void fleet_follower::report_to(const daemon_id& to)
 {
     wire::envelope out;
     auto& follow = *out.mutable_follow();
@@ -51,7 +57,7 @@
     follow.set_version(view_.version());
     follow.set_failure_domain(failure_domain_);
     follow.set_behind(behind_);
-    hooks_.fill(follow);
+    encode(hooks_.make_report(), follow);
     hooks_.send(to, std::move(out));
 }
 
@@ -61,21 +67,32 @@
         return;
     }
     const auto& update = in.update();
-    for (const auto& voter : update.voters()) {
-        known_.emplace(voter);
+    learn_control_daemons(update);
+    if (update.leading()) {
+        take_from_leader(now, daemon_id{in.from()}, update);
     }
-    if (!update.leading()) {
-        if (!update.leader().empty()) {
-            known_.emplace(update.leader());
-        }
+    else {
         take_provisional(update);
-        return;
     }
+}
+
+void fleet_follower::learn_control_daemons(const wire::fleet_update& update)
+{
+    for (const auto& voter : update.voters()) {
+        control_daemons_.emplace(voter);
+    }
+    if (!update.leading() && !update.leader().empty()) {
+        control_daemons_.emplace(update.leader());
+    }
+}
+
+void fleet_follower::take_from_leader(instant now, const daemon_id& from,
+                                      const wire::fleet_update& update)
+{
     const auto outcome = view_.take(update);
     if (outcome == view_copy::outcome::stale) {
-        return;
+        return; // from a leader of an earlier term, or overtaken by a later update
     }
-    const daemon_id from{in.from()};
     if (leader_ != from) {
         leader_ = from;
         hooks_.on_leader(leader_, true);
@@ -97,7 +114,7 @@
 
 void fleet_follower::take_provisional(const wire::fleet_update& update)
 {
-    // Better than none: what a leader has told goes before it, whatever its age.
+    // Better than no view. A leader's view goes before it, whatever its age.
     if (!update.provisional() || view_.term() > 0) {
         return;
     }
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -1,77 +1,65 @@
 #include "entry/relay.h"
 
+#include "cedarpoint/core/parse_integer.h"
+#include "cedarpoint/fleet/stall_rule.h"
+#include "entry/runner_request.h"
 #include "io/clock.h"
 #include "io/header_rules.h"
+#include "io/http_status.h"
 #include "io/log_line.h"
 
 #include <algorithm>
-#include <array>
-#include <charconv>
 #include <fmt/format.h>
+#include <random>
+#include <utility>
 
 namespace cedarpoint {
 namespace {
 
-constexpr milliseconds shortest_try{15};      ///< with less time left nothing is sent
-constexpr milliseconds shortest_silence{400}; ///< a stream that says nothing is doubted after this
-constexpr milliseconds first_event_patience{700};
-constexpr milliseconds fresh_for_once{1000}; ///< rest of a connection for what may run once
-constexpr milliseconds rest_for_repeatable{4000};
+/// With less time left than this a request is not sent: no runner would answer. Not measured.
+constexpr milliseconds shortest_attempt{15};
+
+/// Longest idle time of a kept connection that is used for a request that may run once only: the
+/// longer it rested, the likelier it is closed while the request is on its way, and such a request
+/// can't be sent again. Not measured.
+constexpr milliseconds longest_idle_for_once{1000};
+/// The same for a request that can be sent again. Not measured.
+constexpr milliseconds longest_idle_for_repeatable{4000};
+
+/// A stream's runner is held back while its caller has not taken this many bytes; it goes on when
+/// half of them are taken. Not measured; bounds memory per stream.
 constexpr std::size_t slow_caller_bytes = 256 << 10;
-constexpr int status_ok = 200;
-constexpr int first_failure = 400;
-constexpr int first_server_failure = 500;
-constexpr int bad_gateway = 502;
-constexpr int unavailable = 503;
-constexpr int gateway_timeout = 504;
-constexpr int misdirected = 421;
-constexpr int most_engine_priority = 9;
-constexpr const char* come_back_seconds = "0.25";
-
-template <std::size_t Size>
-bool is_one_of(const std::array<std::string_view, Size>& names, std::string_view name)
-{
-    return std::any_of(names.begin(), names.end(),
-                       [&](std::string_view each) { return equal_ignoring_case(each, name); });
-}
 
-std::optional<std::int64_t> read_number(std::string_view text)
+std::optional<milliseconds> parse_milliseconds(std::string_view text)
 {
-    std::int64_t out = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
-    const bool whole = error == std::errc{} && end == text.data() + text.size();
-    return whole ? std::optional{out} : std::nullopt;
+    const auto number = parse_integer(text);
+    return number ? std::optional{milliseconds{*number}} : std::nullopt;
 }
 
-/// The value of an event's "id" line; empty if it has none.
-std::string_view event_id(std::string_view event)
+own_answer answer_for(admission_refusal why)
 {
-    constexpr std::string_view name = "id:";
-    std::size_t at = event.starts_with(name) ? 0 : event.find("\nid:");
-    if (at == std::string_view::npos) {
-        return {};
+    switch (why) {
+    case admission_refusal::no_route:
+        return own_answer::no_route;
+    case admission_refusal::unknown_key:
+        return own_answer::unknown_key;
+    default:
+        return own_answer::no_configuration;
     }
-    at = event.find(':', at) + 1;
-    auto value = event.substr(at, event.find_first_of("\r\n", at) - at);
-    while (value.starts_with(' ')) {
-        value.remove_prefix(1);
-    }
-    return value;
 }
 
 } // namespace
 
 relay::relay(entry_context& context, http_request request, std::shared_ptr<http_reply> reply,
-             std::function<void(const std::shared_ptr<relay>&)> on_end)
-    : context_{context}, request_{std::move(request)}, reply_{std::move(reply)},
-      on_end_{std::move(on_end)}, routes_{context.routes}, arrived_{steady_now()}
+             end_handler on_end)
+    : context_{context}, request_{std::move(request)}, reply_{std::move(reply)}, on_end_{std::move(
+                                                                                     on_end)},
+      routes_{context.routes}, id_{request_.fields.get(context.platform.headers().request_id)},
+      arrived_{steady_now()}, cursor_{request_.fields.get(context.platform.headers().resume_after)}
 {
     deadline_timer_.setSingleShot(true);
     deadline_timer_.setTimerType(Qt::PreciseTimer);
-    silence_timer_.setSingleShot(true);
-    silence_timer_.setTimerType(Qt::PreciseTimer);
     QObject::connect(&deadline_timer_, &QTimer::timeout, [this] { on_deadline(); });
-    QObject::connect(&silence_timer_, &QTimer::timeout, [this] { on_silence(); });
 }
 
 relay::~relay()
@@ -82,434 +70,300 @@
 
 bool relay::is_stream() const
 {
-    return route_ != nullptr && route_->repeat == repeat_policy::stream;
+    return admission_.route != nullptr && admission_.route->repeat == repeat_policy::stream;
 }
 
 void relay::start()
 {
     const auto self = shared_from_this();
     reply_->on_gone = [this] { on_caller_gone(); };
-    if (!admit()) {
+    if (!is_admitted()) {
         return;
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(deadline_ - arrived_);
+    const auto left = std::chrono::duration_cast<milliseconds>(admission_.deadline - arrived_);
     deadline_timer_.start(static_cast<int>(left.count()));
-    if (!model_.empty()) {
-        ++context_.demand[model_].started;
+    if (!admission_.model.empty()) {
+        ++context_.demand[admission_.model].started;
     }
     context_.budget.on_first_attempt(arrived_);
-    attempt();
+    try_next();
 }
 
-bool relay::admit()
+bool relay::is_admitted()
 {
     const auto& names = context_.platform.headers();
-    id_ = request_.fields.get(names.request_id);
-    if (routes_ == nullptr) {
-        refuse({unavailable, "no configuration is known yet", true}, "");
-        return false;
-    }
-    const auto path = std::string_view{request_.target}.substr(0, request_.target.find('?'));
-    route_ = routes_->find_route(request_.fields.get("Host"), path);
-    if (route_ == nullptr) {
-        refuse({404, "no route", false}, "");
+    const auto& fields = request_.fields;
+    std::uniform_real_distribution<double> draw(0, 1);
+    admission_request in;
+    in.host = fields.get("Host");
+    in.target = request_.target;
+    in.authorization = fields.get("Authorization");
+    in.model = fields.get(names.model);
+    in.patience = parse_milliseconds(fields.get(names.deadline_ms));
+    admission_ = admit(arrived_, routes_.get(), in, draw(context_.random));
+    if (admission_.refusal != admission_refusal::none) {
+        answer(answer_for(admission_.refusal), "");
         return false;
     }
-    if (routes_->configuration().requires_keys) {
-        constexpr std::string_view scheme = "Bearer ";
-        const auto key = request_.fields.get("Authorization");
-        account_ =
-            key.starts_with(scheme) ? routes_->find_account(key.substr(scheme.size())) : nullptr;
-        if (account_ == nullptr && !route_->is_public) {
-            refuse({401, "unknown key", false}, "");
-            return false;
-        }
-    }
-    std::uniform_real_distribution<double> draw(0, 1);
-    service_ = route_table::choose_target(*route_, draw(context_.random)).service;
-    const auto* service = routes_->configuration().find_service(service_);
-    if (service != nullptr && service->engine) {
-        model_ = model_id{std::string{request_.fields.get(names.model)}};
-    }
-    facts_.repeat = route_->repeat;
-    facts_.resumable = route_->resumable;
-    facts_.max_attempts = std::max(route_->max_attempts, 1);
-    last_event_ = request_.fields.get(names.resume_after);
-    last_event_number_ = static_cast<std::uint64_t>(read_number(last_event_).value_or(0));
-    auto time = route_->timeout;
-    if (const auto said = read_number(request_.fields.get(names.deadline_ms))) {
-        time = std::min(time, milliseconds{std::max<std::int64_t>(*said, 0)});
-    }
-    deadline_ = arrived_ + time;
+    facts_.repeat = admission_.route->repeat;
+    facts_.resumable = admission_.route->resumable;
+    facts_.max_attempts = std::max(admission_.route->max_attempts, 1);
     return true;
 }
 
-void relay::attempt()
+// --- attempts -----------------------------------------------------------------------------------
+
+void relay::try_next()
 {
     const auto now = steady_now();
-    auto lack = target_set::lack::none;
-    const auto* target = context_.targets.choose(now, service_, model_, tried_, lack);
-    if (target == nullptr || deadline_ - now < shortest_try) {
-        give_up(target != nullptr                ? "no time is left"
-                : lack == target_set::lack::full ? "all targets are full"
-                                                 : "no target");
+    const auto choice = context_.targets.choose(now, admission_.service, admission_.model, tried_);
+    if (choice.target == nullptr) {
+        const bool full = choice.outcome == target_choice::outcome_t::all_full;
+        give_up(full ? "all targets are full" : "no target is available");
+        return;
+    }
+    if (admission_.deadline - now < shortest_attempt) {
+        give_up("too little time is left");
         return;
     }
-    if (facts_.sent > 0 && !context_.budget.take(now, context_.daemons)) {
+    if (facts_.sent > 0 && !context_.budget.take(now, context_.entry_daemons)) {
         give_up("the retry budget is spent");
         return;
     }
-    send_to(*target);
+    send_to(*choice.target);
 }
 
 void relay::send_to(const fleet_target& target)
 {
-    const auto now = steady_now();
-    const auto left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
+    const auto left = std::chrono::duration_cast<milliseconds>(admission_.deadline - steady_now());
     tried_.insert(target.runner);
-    runner_ = target.runner;
-    group_ = target.group;
-    sent_ = false;
-    head_.reset();
-    body_.clear();
-    streaming_ = false;
-    event_of_runner_ = false;
-    events_ = {};
-    exchange_request out;
-    out.bytes = serialize_for(target, left);
-    out.head_only = request_.method == "HEAD";
-    out.id_header = context_.platform.headers().request_id;
-    out.id = id_;
-    const bool once = !is_repeatable(facts_);
-    connection_ = context_.pool.take(target.address, once ? fresh_for_once : rest_for_repeatable);
-    context_.targets.on_sent(now, runner_);
-    const std::weak_ptr<relay> weak = weak_from_this();
-    exchange_handlers handlers;
-    handlers.on_sent = [this] {
-        sent_ = true;
-        sent_at_ = steady_now();
-        ++facts_.sent;
-        if (is_stream()) {
-            arm_silence(std::max(first_event_patience, 2 * route_->target_latency));
-        }
-    };
-    handlers.on_head = [this](const http_head& head) { on_head(head); };
-    handlers.on_body = [this](const std::string& bytes) { on_body(bytes); };
-    handlers.on_end = [weak](exchange_end how, const reason& why) {
-        if (const auto self = weak.lock()) {
-            self->on_attempt_end(how, why);
-        }
-    };
-    connection_->start(std::move(out), std::move(handlers));
-}
-
-std::string relay::serialize_for(const fleet_target& target, milliseconds left) const
-{
-    const auto& names = context_.platform.headers();
-    const std::array<std::string_view, 6> own{names.deadline_ms,  names.priority,
-                                              names.account,      names.expected_runner,
-                                              names.resume_after, "Authorization"};
-    std::string out = request_.method + " " + request_.target + " HTTP/1.1\r\n";
-    const auto add = [&](std::string_view name, std::string_view value) {
-        out.append(name).append(": ").append(value).append("\r\n");
-    };
-    for (const auto& [name, value] : request_.fields.all()) {
-        if (!is_one_of(own, name) && !is_hop_by_hop(name)) {
-            add(name, value);
-        }
-    }
-    add(names.deadline_ms, std::to_string(left.count()));
-    add(names.expected_runner, target.runner.str());
-    if (account_ != nullptr) {
-        add(names.account, account_->name.str());
-    }
-    const int rank = (account_ != nullptr ? account_->priority * 2 : 0) + route_->priority;
-    if (!model_.empty()) {
-        add(names.priority, std::to_string(std::clamp(rank, 0, most_engine_priority)));
-    }
-    if (!last_event_.empty()) {
-        add(names.resume_after, last_event_);
-    }
-    const bool bodiless =
-        request_.body.empty() && (request_.method == "GET" || request_.method == "HEAD");
-    if (!bodiless) {
-        add("Content-Length", std::to_string(request_.body.size()));
-    }
-    return out + "\r\n" + request_.body;
+    const auto next = std::make_shared<runner_attempt>(context_, target, make_options(target, left),
+                                                       make_handlers());
+    attempt_ = next;
+    next->start();
 }
 
-void relay::on_head(const http_head& head)
+runner_attempt::options relay::make_options(const fleet_target& target, milliseconds left) const
 {
-    context_.targets.on_byte(steady_now(), runner_);
-    head_ = head;
-    streaming_ =
-        is_stream() && head.status == status_ok && is_event_stream(head) && is_own_answer(head);
+    const auto& route = *admission_.route;
+    runner_request own;
+    own.time_left = left;
+    own.expected_runner = target.runner;
+    own.resume_after = cursor_.last_id();
+    if (admission_.account != nullptr) {
+        own.account = admission_.account->name;
+    }
+    if (!admission_.model.empty()) {
+        own.priority = engine_priority(route, admission_.account);
+    }
+    runner_attempt::options out;
+    out.request = serialize(request_, own, context_.platform.headers());
+    out.id = id_;
+    out.head_only = request_.method == "HEAD";
+    out.expects_stream = is_stream();
+    out.continues_stream = begun_;
+    out.longest_idle = is_repeatable(facts_) ? longest_idle_for_repeatable : longest_idle_for_once;
+    out.first_event_limit = first_event_limit(route.target_latency);
+    out.event_pause_limit = event_pause_limit(route.target_gap);
+    return out;
 }
 
-bool relay::is_own_answer(const http_head& head) const
+runner_attempt::handlers relay::make_handlers()
 {
-    const auto& names = context_.platform.headers();
-    return head.fields.get(names.request_id) == id_ && head.fields.has(names.signature) &&
-           !head.fields.has("Content-Encoding");
+    // The relay outlives its attempts: it ends them before it ends itself, and its owner keeps it
+    // until none of its calls is under way.
+    runner_attempt::handlers out;
+    out.on_sent = [this] { ++facts_.sent; };
+    out.on_event = [this](std::string_view event) { return pass_on(event); };
+    out.on_events_passed = [this] { hold_back_if_slow(); };
+    out.on_stalled = [this] { on_stalled(); };
+    out.on_end = [weak = weak_from_this()](const attempt_verdict& verdict) {
+        if (const auto self = weak.lock()) {
+            self->on_attempt_end(verdict);
+        }
+    };
+    return out;
 }
 
-void relay::on_body(const std::string& bytes)
+bool relay::pass_on(std::string_view event)
 {
-    context_.targets.on_byte(steady_now(), runner_);
-    if (!streaming_) {
-        body_ += bytes;
-        return;
-    }
-    const bool fine = events_.put(bytes, [this](std::string_view event) { on_event(event); });
-    if (!fine) {
-        abandon_attempt();
-        after(attempt_outcome::may_have_run, "an event is too large");
-        return;
-    }
-    if (reply_->buffered() > slow_caller_bytes && connection_ != nullptr) {
-        connection_->pause(true);
-        silence_timer_.stop();
-        reply_->on_drained = [this] {
-            if (connection_ != nullptr && reply_->buffered() < slow_caller_bytes / 2) {
-                reply_->on_drained = nullptr;
-                connection_->pause(false);
-            }
-        };
+    if (!cursor_.advance(event)) {
+        return false;
     }
-}
-
-void relay::on_event(std::string_view event)
-{
     const auto now = steady_now();
-    if (const auto id = event_id(event); !id.empty()) {
-        const auto number = read_number(id);
-        if (number && static_cast<std::uint64_t>(*number) <= last_event_number_) {
-            return; // the caller has it already
-        }
-        last_event_ = id;
-        last_event_number_ = static_cast<std::uint64_t>(number.value_or(0));
-    }
     if (!begun_) {
         begun_ = true;
-        auto out = without_hop_by_hop(*head_);
-        reply_->begin(std::move(out));
-        context_.figures.observe_first_byte(now - arrived_);
+        reply_->begin(without_hop_by_hop(attempt_->head()));
+        context_.metrics.observe_first_byte(now - arrived_);
     }
     else {
-        context_.figures.observe_pause(now - last_event_at_);
-        if (event_of_runner_) {
-            context_.targets.on_wait(runner_, now - last_event_at_);
-        }
+        context_.metrics.observe_pause(now - latest_event_at_);
     }
-    event_of_runner_ = true;
-    last_event_at_ = now;
+    latest_event_at_ = now;
     reply_->write(std::string{event});
-    arm_silence(std::max(shortest_silence, 2 * route_->target_gap));
+    return true;
+}
+
+void relay::hold_back_if_slow()
+{
+    if (reply_->buffered() <= slow_caller_bytes || !attempt_->is_running()) {
+        return;
+    }
+    attempt_->pause(true);
+    reply_->on_drained = [this] { on_drained(); };
 }
 
-void relay::arm_silence(milliseconds limit)
+void relay::on_drained()
 {
-    silence_timer_.start(static_cast<int>(limit.count()));
+    if (attempt_->is_running() && reply_->buffered() < slow_caller_bytes / 2) {
+        reply_->on_drained = nullptr;
+        attempt_->pause(false);
+    }
 }
 
-void relay::on_silence()
+void relay::on_stalled()
 {
-    // Only where going on elsewhere is possible: a slow answer is better than none.
-    if (ended_ || connection_ == nullptr ||
+    if (ended_ || !attempt_->is_running() ||
         !may_send_again(facts_, attempt_outcome::may_have_run)) {
         return;
     }
-    auto lack = target_set::lack::none;
     const auto now = steady_now();
-    if (context_.targets.choose(now, service_, model_, tried_, lack) == nullptr) {
+    const auto choice = context_.targets.choose(now, admission_.service, admission_.model, tried_);
+    if (choice.target == nullptr) {
         return;
     }
-    context_.targets.on_failure(now, runner_);
-    abandon_attempt();
-    after(attempt_outcome::may_have_run, "the stream stands still");
+    context_.targets.on_failure(now, attempt_->runner());
+    move_on("the stream stalled");
 }
 
 void relay::on_targets_changed()
 {
-    const auto* target = context_.targets.find(runner_);
-    const bool ended =
-        connection_ != nullptr && !group_.empty() && (target == nullptr || target->group != group_);
-    if (ended && !ended_ && may_send_again(facts_, attempt_outcome::may_have_run)) {
-        const auto self = shared_from_this();
-        abandon_attempt();
-        after(attempt_outcome::may_have_run, "its group has ended");
+    if (ended_ || attempt_ == nullptr || !attempt_->is_running() || attempt_->group().empty()) {
+        return;
     }
-}
-
-void relay::release_attempt()
-{
-    silence_timer_.stop();
-    if (connection_ != nullptr) {
-        context_.targets.on_done(runner_);
-        context_.pool.give_back(std::exchange(connection_, nullptr));
+    const auto* target = context_.targets.find(attempt_->runner());
+    const bool group_ended = target == nullptr || target->group != attempt_->group();
+    if (group_ended && may_send_again(facts_, attempt_outcome::may_have_run)) {
+        move_on("its group has ended");
     }
 }
 
-void relay::abandon_attempt()
+void relay::move_on(const char* why)
 {
-    if (connection_ != nullptr) {
-        connection_->cancel();
-    }
-    facts_.may_have_run = facts_.may_have_run || sent_;
-    release_attempt();
+    const auto self = shared_from_this();
+    abandon_attempt();
+    decide({attempt_outcome::may_have_run, target_effect::none, why});
 }
 
-void relay::on_attempt_end(exchange_end how, const reason& why)
+void relay::abandon_attempt()
 {
-    const auto now = steady_now();
-    release_attempt();
-    switch (how) {
-    case exchange_end::refused:
-    case exchange_end::unsent:
-        context_.targets.on_unreachable(now, runner_, how == exchange_end::refused);
-        after(attempt_outcome::not_run, why.str());
+    if (attempt_ == nullptr || !attempt_->is_running()) {
         return;
-    case exchange_end::cut:
-        context_.targets.on_failure(now, runner_);
-        facts_.may_have_run = true;
-        after(attempt_outcome::may_have_run, why.str());
-        return;
-    case exchange_end::complete:
-        break;
-    }
-    if (streaming_) {
-        judge_stream_end();
-    }
-    else {
-        judge_answer();
     }
+    facts_.may_have_run = facts_.may_have_run || attempt_->was_sent();
+    attempt_->cancel();
 }
 
-void relay::judge_stream_end()
+void relay::on_attempt_end(const attempt_verdict& verdict)
 {
-    if (events_.has_rest()) {
-        context_.targets.on_failure(steady_now(), runner_);
+    if (verdict.outcome != attempt_outcome::not_run) {
         facts_.may_have_run = true;
-        after(attempt_outcome::may_have_run, "the stream ended within an event");
-        return;
-    }
-    context_.targets.on_success(runner_);
-    after(attempt_outcome::succeeded, "");
-}
-
-void relay::judge_answer()
-{
-    const auto& names = context_.platform.headers();
-    const auto& head = *head_;
-    const bool disclaimed = head.fields.has(names.not_executed) || head.status == misdirected;
-    if (disclaimed) {
-        context_.targets.on_failure(steady_now(), runner_);
-        after(attempt_outcome::not_run, fmt::format("status {} not executed", head.status));
-        return;
-    }
-    facts_.may_have_run = true;
-    if (head.status < first_failure) {
-        // A stream's route answers with events; anything else that succeeds must be whole.
-        const bool fine = is_own_answer(head) && !begun_;
-        if (!fine) {
-            context_.targets.on_failure(steady_now(), runner_);
-        }
-        else {
-            context_.targets.on_success(runner_);
-            if (model_.empty()) {
-                context_.targets.on_wait(runner_, steady_now() - sent_at_);
-            }
-        }
-        after(fine ? attempt_outcome::succeeded : attempt_outcome::may_have_run,
-              fine ? "" : "the answer is not the runner's");
-        return;
     }
-    failure_ = head;
-    failure_body_ = std::move(body_);
-    body_.clear();
-    if (head.status >= first_server_failure) {
-        context_.targets.on_failure(steady_now(), runner_);
+    const bool failed = verdict.outcome == attempt_outcome::client_error ||
+                        verdict.outcome == attempt_outcome::server_error;
+    if (failed) {
+        failure_ = attempt_->head();
+        failure_body_ = attempt_->body();
     }
-    after(attempt_outcome::failed, fmt::format("status {}", head.status));
+    decide(verdict);
 }
 
-void relay::after(attempt_outcome outcome, const std::string& why)
+void relay::decide(const attempt_verdict& verdict)
 {
     if (ended_) {
         return;
     }
-    constexpr std::array<const char*, 4> names{"not_run", "may_have_run", "failed", "succeeded"};
-    const auto* name = names.at(static_cast<std::size_t>(outcome));
-    context_.figures.count_attempt(name);
-    if (outcome == attempt_outcome::succeeded) {
+    context_.metrics.count_attempt(std::string{name_of(verdict.outcome)});
+    if (verdict.outcome == attempt_outcome::succeeded) {
         deliver();
         return;
     }
-    log_attempt(name, why);
-    const bool clients_fault =
-        outcome == attempt_outcome::failed && failure_->status < first_server_failure;
-    if (!clients_fault && may_send_again(facts_, outcome)) {
-        attempt();
-        return;
+    log_attempt(verdict);
+    if (may_send_again(facts_, verdict.outcome)) {
+        try_next();
+    }
+    else {
+        give_up(verdict.why);
     }
-    give_up(why);
 }
 
+// --- the final answer ---------------------------------------------------------------------------
+
 void relay::deliver()
 {
-    const auto now = steady_now();
-    if (streaming_ && begun_) {
+    const auto since_arrival = steady_now() - arrived_;
+    if (begun_) {
         reply_->finish();
     }
     else {
-        auto out = without_hop_by_hop(*head_);
-        reply_->send(std::move(out), body_);
-        context_.figures.observe_first_byte(now - arrived_);
+        reply_->send(without_hop_by_hop(attempt_->head()), attempt_->body());
+        context_.metrics.observe_first_byte(since_arrival);
     }
-    context_.figures.observe_whole(now - arrived_);
+    context_.metrics.observe_whole(since_arrival);
     finish("served", "");
 }
 
 void relay::give_up(const std::string& why)
 {
-    if (begun_) {
-        reply_->abort();
-        finish("broken_off", why);
+    give_up_facts known;
+    known.has_begun = begun_;
+    known.has_failure = failure_.has_value();
+    known.failure_status = failure_ ? failure_->status : 0;
+    known.may_have_run = facts_.may_have_run;
+    known.is_repeatable = is_repeatable(facts_);
+    switch (choose_final_answer(known)) {
+    case final_answer::break_off:
+        break_off(why);
         return;
-    }
-    if (failure_) {
-        // A failure that a caller would take for a promise is not passed on as one.
-        const bool promises =
-            failure_->status == unavailable || failure_->status == 429 || failure_->status == 408;
-        if (!promises || is_repeatable(facts_)) {
-            head_ = failure_;
-            body_ = failure_body_;
-            auto out = without_hop_by_hop(*head_);
-            reply_->send(std::move(out), body_);
-            finish("failed_at_runner", why);
-            return;
-        }
-    }
-    if (may_promise_not_run(facts_)) {
-        if (!model_.empty()) {
-            ++context_.demand[model_].refused;
+    case final_answer::pass_failure:
+        pass_failure(why);
+        return;
+    case final_answer::not_run:
+        if (!admission_.model.empty()) {
+            ++context_.demand[admission_.model].rejected;
         }
-        refuse({unavailable, "not served", true}, why);
+        answer(own_answer::not_run, why);
+        return;
+    case final_answer::unknown:
+        answer(own_answer::outcome_unknown, why);
         return;
     }
-    refuse({bad_gateway, "the runner's answer did not come", false}, why);
 }
 
-void relay::refuse(const own_answer& answer, const std::string& why)
+void relay::pass_failure(const std::string& why)
+{
+    reply_->send(without_hop_by_hop(*failure_), failure_body_);
+    finish("failed_at_runner", why);
+}
+
+void relay::break_off(const std::string& why)
+{
+    reply_->abort();
+    finish("broken_off", why);
+}
+
+void relay::answer(own_answer kind, const std::string& why)
 {
-    http_head head{answer.status, {}};
+    const auto& shape = shape_of(kind);
+    http_head head{shape.status, {}};
     head.fields.add(context_.platform.headers().request_id, id_);
     head.fields.add("Content-Type", "application/json");
-    if (answer.come_back) {
-        head.fields.add("Retry-After", come_back_seconds);
+    if (shape.invites_retry) {
+        head.fields.add("Retry-After", std::string{retry_after_seconds});
     }
-    reply_->send(std::move(head), fmt::format("{{\"error\":\"{}\"}}", answer.cause));
-    finish(answer.status == unavailable ? "refused" : "rejected", why.empty() ? answer.cause : why);
+    reply_->send(std::move(head), fmt::format("{{\"error\":\"{}\"}}", shape.wire_text));
+    const bool refused = shape.status == http_status::service_unavailable;
+    finish(refused ? "refused" : "rejected", why.empty() ? shape.log_cause : why);
 }
 
 void relay::on_caller_gone()
@@ -530,50 +384,46 @@
     const auto self = shared_from_this();
     abandon_attempt();
     if (begun_) {
-        reply_->abort();
-        finish("broken_off", "its time is up");
-        return;
+        break_off("deadline exceeded");
     }
-    if (facts_.may_have_run) {
-        refuse({gateway_timeout, "its time is up", false}, "");
-        return;
+    else {
+        answer(facts_.may_have_run ? own_answer::expired : own_answer::expired_unrun, "");
     }
-    refuse({unavailable, "its time is up", true}, "");
 }
 
-void relay::finish(const char* outcome, const std::string& cause)
+void relay::finish(const char* outcome, std::string_view cause)
 {
     if (ended_) {
         return;
     }
     ended_ = true;
     deadline_timer_.stop();
-    silence_timer_.stop();
     reply_->on_gone = nullptr;
     reply_->on_drained = nullptr;
-    context_.figures.count_end(outcome, cause.substr(0, cause.find(':')));
-    log_line line{"request"};
-    line.with("id", id_)
+    // What follows a colon names a peer: as a label it would make a series for each.
+    context_.metrics.count_end(outcome, std::string{cause.substr(0, cause.find(':'))});
+    log_line{"request"}
+        .with("id", id_)
         .with("outcome", outcome)
         .with("cause", cause)
-        .with("route", route_ != nullptr ? route_->name : "")
-        .with("runner", runner_.str())
-        .with("group", group_.str())
+        .with("route", admission_.route != nullptr ? admission_.route->name : "")
+        .with("runner", attempt_ != nullptr ? attempt_->runner().str() : "")
+        .with("group", attempt_ != nullptr ? attempt_->group().str() : "")
         .with("sent", facts_.sent)
         .with("ms", to_ms(steady_now() - arrived_))
-        .with("config", routes_ != nullptr ? routes_->version() : 0);
-    line.write();
+        .with("config", routes_ != nullptr ? routes_->version() : 0)
+        .write();
     on_end_(shared_from_this());
 }
 
-void relay::log_attempt(const char* outcome, const std::string& why) const
+void relay::log_attempt(const attempt_verdict& verdict) const
 {
     log_line{"attempt"}
         .with("id", id_)
-        .with("outcome", outcome)
-        .with("runner", runner_.str())
-        .with("group", group_.str())
-        .with("why", why)
+        .with("outcome", name_of(verdict.outcome))
+        .with("runner", attempt_->runner().str())
+        .with("group", attempt_->group().str())
+        .with("why", verdict.why)
         .write();
 }
 
--- /dev/null
+++ b/src/entry/runner_attempt.cpp
@@ -0,0 +1,202 @@
+#include "entry/runner_attempt.h"
+
+#include "io/clock.h"
+#include "io/header_rules.h"
+#include "io/http_status.h"
+
+#include <utility>
+
+namespace cedarpoint {
+
+runner_attempt::runner_attempt(entry_context& context, const fleet_target& target, options options,
+                               handlers handlers)
+    : context_{context}, address_{target.address}, runner_{target.runner}, group_{target.group},
+      of_group_{!target.model.empty()}, options_{std::move(options)}, handlers_{std::move(handlers)}
+{
+    stall_timer_.setSingleShot(true);
+    stall_timer_.setTimerType(Qt::PreciseTimer);
+    QObject::connect(&stall_timer_, &QTimer::timeout, [this] {
+        const auto self = shared_from_this();
+        handlers_.on_stalled();
+    });
+}
+
+runner_attempt::~runner_attempt() = default;
+
+void runner_attempt::start()
+{
+    const auto self = shared_from_this();
+    exchange_request request;
+    request.bytes = std::move(options_.request);
+    request.head_only = options_.head_only;
+    request.id_header = context_.platform.headers().request_id;
+    request.id = options_.id;
+    connection_ = context_.pool.take(address_, options_.longest_idle);
+    context_.targets.on_sent(steady_now(), runner_);
+    connection_->start(std::move(request), make_exchange_handlers());
+}
+
+exchange_handlers runner_attempt::make_exchange_handlers()
+{
+    const auto weak = weak_from_this();
+    exchange_handlers out;
+    out.on_sent = [weak] {
+        if (const auto self = weak.lock()) {
+            self->on_sent();
+        }
+    };
+    out.on_head = [weak](const http_head& head) {
+        if (const auto self = weak.lock()) {
+            self->on_head(head);
+        }
+    };
+    out.on_body = [weak](const std::string& bytes) {
+        if (const auto self = weak.lock()) {
+            self->on_body(bytes);
+        }
+    };
+    out.on_end = [weak](exchange_end how, const reason& why) {
+        if (const auto self = weak.lock()) {
+            self->on_exchange_end(how, why);
+        }
+    };
+    return out;
+}
+
+void runner_attempt::cancel()
+{
+    if (connection_ != nullptr) {
+        connection_->cancel();
+        release();
+    }
+}
+
+void runner_attempt::pause(bool paused)
+{
+    if (connection_ == nullptr) {
+        return;
+    }
+    connection_->pause(paused);
+    if (paused) {
+        stall_timer_.stop(); // it is the caller that is waited for
+    }
+}
+
+void runner_attempt::on_sent()
+{
+    sent_at_ = steady_now();
+    if (options_.expects_stream) {
+        arm_stall_timer(options_.first_event_limit);
+    }
+    handlers_.on_sent();
+}
+
+bool runner_attempt::is_authentic(const http_head& head) const
+{
+    const auto& names = context_.platform.headers();
+    return head.fields.get(names.request_id) == options_.id && head.fields.has(names.signature) &&
+           !head.fields.has("Content-Encoding");
+}
+
+void runner_attempt::on_head(const http_head& head)
+{
+    context_.targets.on_byte(steady_now(), runner_);
+    head_ = head;
+    streaming_ = options_.expects_stream && head.status == http_status::ok &&
+                 is_event_stream(head) && is_authentic(head);
+}
+
+void runner_attempt::on_body(const std::string& bytes)
+{
+    context_.targets.on_byte(steady_now(), runner_);
+    if (!streaming_) {
+        body_ += bytes;
+        return;
+    }
+    const bool fits = events_.put(bytes, [this](std::string_view event) { on_event(event); });
+    if (!fits) {
+        cancel();
+        handlers_.on_end(
+            {attempt_outcome::may_have_run, target_effect::none, "an event is too large"});
+        return;
+    }
+    handlers_.on_events_passed();
+}
+
+void runner_attempt::on_event(std::string_view event)
+{
+    if (!handlers_.on_event(event)) {
+        return;
+    }
+    const auto now = steady_now();
+    if (latest_event_at_) {
+        context_.targets.on_wait(runner_, now - *latest_event_at_);
+    }
+    latest_event_at_ = now;
+    arm_stall_timer(options_.event_pause_limit);
+}
+
+void runner_attempt::arm_stall_timer(milliseconds limit)
+{
+    stall_timer_.start(static_cast<int>(limit.count()));
+}
+
+void runner_attempt::on_exchange_end(exchange_end how, const reason& why)
+{
+    release();
+    const auto verdict = judge(how, why);
+    note(verdict);
+    handlers_.on_end(verdict);
+}
+
+attempt_verdict runner_attempt::judge(exchange_end how, const reason& why)
+{
+    switch (how) {
+    case exchange_end::refused:
+    case exchange_end::unsent:
+        context_.targets.on_unreachable(steady_now(), runner_, how == exchange_end::refused);
+        return {attempt_outcome::not_run, target_effect::none, why.str()};
+    case exchange_end::cut:
+        return {attempt_outcome::may_have_run, target_effect::failure, why.str()};
+    case exchange_end::complete:
+        break;
+    }
+    return judge_complete();
+}
+
+attempt_verdict runner_attempt::judge_complete() const
+{
+    if (streaming_) {
+        return judge_stream_end(events_.has_rest());
+    }
+    answer_facts facts;
+    facts.status = head_->status;
+    facts.disclaims = head_->fields.has(context_.platform.headers().not_executed);
+    facts.is_authentic = is_authentic(*head_);
+    facts.caller_has_events = options_.continues_stream;
+    return judge_answer(facts);
+}
+
+void runner_attempt::note(const attempt_verdict& verdict)
+{
+    const auto now = steady_now();
+    if (verdict.effect == target_effect::failure) {
+        context_.targets.on_failure(now, runner_);
+    }
+    if (verdict.effect == target_effect::success) {
+        context_.targets.on_success(runner_);
+        // How long a plain runner takes; for heads of groups the pauses of streams are what counts.
+        if (!streaming_ && !of_group_) {
+            context_.targets.on_wait(runner_, now - *sent_at_);
+        }
+    }
+}
+
+void runner_attempt::release()
+{
+    stall_timer_.stop();
+    context_.targets.on_done(runner_);
+    context_.pool.give_back(std::exchange(connection_, nullptr));
+}
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/fleet/answer_verdict.cpp
@@ -0,0 +1,52 @@
+#include "cedarpoint/fleet/answer_verdict.h"
+
+#include <fmt/format.h>
+
+namespace cedarpoint {
+namespace {
+
+constexpr int first_error = 400;
+constexpr int misdirected = 421;
+constexpr int first_server_error = 500;
+
+attempt_verdict judge_success(const answer_facts& in)
+{
+    if (!in.is_authentic) {
+        return {attempt_outcome::may_have_run, target_effect::failure,
+                "the answer lacks the request's id or the runner's signature"};
+    }
+    if (in.caller_has_events) {
+        return {attempt_outcome::may_have_run, target_effect::failure,
+                "the answer does not go on with the stream"};
+    }
+    return {attempt_outcome::succeeded, target_effect::success, ""};
+}
+
+} // namespace
+
+attempt_verdict judge_answer(const answer_facts& in)
+{
+    if (in.disclaims || in.status == misdirected) {
+        return {attempt_outcome::not_run, target_effect::failure,
+                fmt::format("status {} not executed", in.status)};
+    }
+    if (in.status < first_error) {
+        return judge_success(in);
+    }
+    const auto why = fmt::format("status {}", in.status);
+    if (in.status < first_server_error) {
+        return {attempt_outcome::client_error, target_effect::none, why};
+    }
+    return {attempt_outcome::server_error, target_effect::failure, why};
+}
+
+attempt_verdict judge_stream_end(bool cut_within_event)
+{
+    if (cut_within_event) {
+        return {attempt_outcome::may_have_run, target_effect::failure,
+                "the stream ended within an event"};
+    }
+    return {attempt_outcome::succeeded, target_effect::success, ""};
+}
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/fleet/retry_policy.cpp
@@ -0,0 +1,29 @@
+#include "cedarpoint/fleet/retry_policy.h"
+
+namespace cedarpoint {
+
+std::string_view name_of(attempt_outcome outcome)
+{
+    constexpr std::array<std::string_view, 5> names{"not_run", "may_have_run", "failed", "failed",
+                                                    "succeeded"};
+    return names.at(static_cast<std::size_t>(outcome));
+}
+
+final_answer choose_final_answer(const give_up_facts& facts)
+{
+    if (facts.has_begun) {
+        return final_answer::break_off;
+    }
+    // A runner's 503 after it ran the request would be a false promise from us.
+    const bool is_false_promise = promises_not_run(facts.failure_status) && !facts.is_repeatable;
+    if (facts.has_failure && !is_false_promise) {
+        return final_answer::pass_failure;
+    }
+    // Where it does no harm that the request runs twice, "not run" invites the caller to try again.
+    if (!facts.may_have_run || facts.is_repeatable) {
+        return final_answer::not_run;
+    }
+    return final_answer::unknown;
+}
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/fleet/target_ranking.cpp
@@ -0,0 +1,65 @@
+#include "cedarpoint/fleet/target_ranking.h"
+
+#include <algorithm>
+
+namespace cedarpoint {
+namespace {
+
+/// Requests that may wait at a target beyond its slots: a slot frees soon. Not measured on its own;
+/// of the round "own choose, all bound".
+constexpr int queue_allowance = 3;
+
+/// Cost of the way to another failure domain, in requests. Not measured.
+constexpr double other_domain_cost = 0.5;
+
+/// Above any load, so that an avoided target is chosen only if there is no other.
+constexpr double avoided_cost = 1000;
+
+/// The widest difference that the draw may overrule, in requests. Not measured.
+constexpr double draw_width = 0.5;
+
+/// Without a byte for this long, while requests wait there, a target is avoided. Sooner than the
+/// leader's threshold (300 ms): it costs only the choice of another target. Not measured.
+constexpr duration stall_threshold = milliseconds{250};
+
+/// Backoff after the first failure; it doubles with each further one, up to 4.8 s. Not measured.
+constexpr duration shortest_backoff = milliseconds{300};
+constexpr int most_doublings = 4;
+
+} // namespace
+
+bool is_full(const fleet_target& target, const target_stats& stats)
+{
+    return stats.in_flight + stats.in_flight_elsewhere >= target.slots + queue_allowance;
+}
+
+double load_cost(const fleet_target& target, const target_stats& stats)
+{
+    return (stats.in_flight + 1) * target.slowness;
+}
+
+double distance_cost(const fleet_target& target, const failure_domain_id& own_domain)
+{
+    return target.failure_domain == own_domain ? 0 : other_domain_cost;
+}
+
+double avoidance_cost(instant now, const fleet_target& target, const target_stats& stats)
+{
+    const bool backs_off = now < stats.backoff_until;
+    const bool stalls = stats.in_flight > 0 && now - stats.waiting_since > stall_threshold;
+    return backs_off || stalls || target.suspected ? avoided_cost : 0;
+}
+
+double target_cost(instant now, const fleet_target& target, const target_stats& stats,
+                   const failure_domain_id& own_domain, double draw)
+{
+    return load_cost(target, stats) + distance_cost(target, own_domain) +
+           avoidance_cost(now, target, stats) + draw * draw_width;
+}
+
+duration backoff_after(int failures)
+{
+    return shortest_backoff * (1 << std::min(failures - 1, most_doublings));
+}
+
+} // namespace cedarpoint
