--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -5,71 +5,98 @@
 namespace cedarpoint {
 namespace {
 
-constexpr duration recently = seconds{1};
-constexpr std::uint64_t close_behind = 64; ///< entries
-constexpr duration voter_patience = seconds{3};
-constexpr duration learner_patience = seconds{60};
+/// A learner that is to vote must have answered within this. Not measured.
+constexpr duration ready_silence = seconds{1};
+/// Entries of the log that it may be behind. Not measured.
+constexpr std::uint64_t ready_lag = 64;
+/// A voter that was silent for this long gives its place to a learner. Not measured.
+constexpr duration voter_silence = seconds{3};
+/// A learner that was silent for this long is removed. Not measured.
+constexpr duration learner_silence = seconds{60};
 
 bool follows_closely(instant now, const raft_node& leader, const member_id& member)
 {
     const auto heard = leader.heard_from(member);
-    return heard && now - *heard < recently &&
-           leader.match_of(member) + close_behind >= leader.last_index();
+    return heard && now - *heard < ready_silence &&
+           leader.match_of(member) + ready_lag >= leader.last_index();
 }
 
-struct standing {
+/// The members by what may be done with them.
+struct member_overview {
     std::size_t voters = 0;
-    std::vector<member_id> ready;  ///< learners that follow closely
-    std::vector<member_id> silent; ///< voters that have not answered for long
+    std::vector<member_id> ready_learners;
+    std::vector<member_id> silent_voters;
+    std::vector<member_id> silent_learners;
 };
 
-standing standing_of(instant now, const raft_node& leader)
+member_overview survey(instant now, const raft_node& leader)
 {
-    standing out;
+    member_overview out;
     for (const auto& each : leader.members().members()) {
         const member_id member{each.id()};
-        out.voters += each.voter() ? 1 : 0;
-        if (!each.voter() && follows_closely(now, leader, member)) {
-            out.ready.push_back(member);
+        const auto silence = leader.silence_of(now, member);
+        if (each.voter()) {
+            ++out.voters;
+            if (silence > voter_silence) {
+                out.silent_voters.push_back(member);
+            }
+            continue;
         }
-        if (each.voter() && leader.silence_of(now, member) > voter_patience) {
-            out.silent.push_back(member);
+        if (follows_closely(now, leader, member)) {
+            out.ready_learners.push_back(member);
+        }
+        if (silence > learner_silence) {
+            out.silent_learners.push_back(member);
         }
     }
     return out;
 }
 
+std::optional<member_id> first_of(const std::vector<member_id>& members)
+{
+    return members.empty() ? std::nullopt : std::optional{members.front()};
+}
+
 } // namespace
 
 std::optional<member_id> next_promotion(instant now, const raft_node& leader,
                                         std::size_t wanted_voters)
 {
-    const auto now_is = standing_of(now, leader);
-    const std::size_t needed = now_is.voters % 2 == 0 ? 1 : 2;
-    if (now_is.voters >= wanted_voters || now_is.ready.size() < needed) {
+    const auto members = survey(now, leader);
+    const std::size_t needed = members.voters % 2 == 0 ? 1 : 2;
+    if (members.voters >= wanted_voters || members.ready_learners.size() < needed) {
         return {};
     }
-    return now_is.ready.front();
+    return first_of(members.ready_learners);
 }
 
 std::optional<member_id> next_demotion(instant now, const raft_node& leader,
                                        std::size_t wanted_voters)
 {
-    const auto now_is = standing_of(now, leader);
-    const bool replaceable = now_is.voters >= wanted_voters && !now_is.ready.empty();
-    if (!replaceable || now_is.silent.empty()) {
+    const auto members = survey(now, leader);
+    if (members.voters < wanted_voters || members.ready_learners.empty()) {
         return {};
     }
-    return now_is.silent.front();
+    return first_of(members.silent_voters);
 }
 
 std::optional<member_id> next_removal(instant now, const raft_node& leader)
 {
-    for (const auto& each : leader.members().members()) {
-        const member_id member{each.id()};
-        if (!each.voter() && leader.silence_of(now, member) > learner_patience) {
-            return member;
-        }
+    return first_of(survey(now, leader).silent_learners);
+}
+
+std::optional<membership_change> next_membership_change(instant now, const raft_node& leader,
+                                                        std::size_t wanted_voters)
+{
+    using kind_t = membership_change::kind_t;
+    if (const auto member = next_promotion(now, leader, wanted_voters)) {
+        return membership_change{kind_t::promote, *member};
+    }
+    if (const auto member = next_demotion(now, leader, wanted_voters)) {
+        return membership_change{kind_t::demote, *member};
+    }
+    if (const auto member = next_removal(now, leader)) {
+        return membership_change{kind_t::remove, *member};
     }
     return {};
 }
--- /dev/null
+++ b/src/control_daemon/control_api.cpp
@@ -0,0 +1,203 @@
+#include "control_daemon/control_api.h"
+
+#include "io/clock.h"
+#include "io/http_status.h"
+#include "io/log_line.h"
+
+#include <string_view>
+#include <utility>
+
+namespace cedarpoint {
+namespace {
+
+/// The value of Retry-After, in seconds. Not measured.
+constexpr const char* retry_after_seconds = "0.2";
+
+void answer(const control_api::reply_ptr& reply, int status, const std::string& body = {})
+{
+    http_head head{status, {}};
+    head.fields.add("Content-Type", "application/json");
+    if (status == http_status::service_unavailable) {
+        head.fields.add("Retry-After", retry_after_seconds);
+    }
+    reply->send(std::move(head), body);
+}
+
+void log_configuration(const char* outcome, std::uint64_t version, std::uint64_t held)
+{
+    log_line("configuration")
+        .with("outcome", outcome)
+        .with("version", version)
+        .with("held", held)
+        .write();
+}
+
+void log_new_runner(const announcement& in)
+{
+    log_line("runner")
+        .with("runner", in.id.str())
+        .with("service", in.service.str())
+        .with("address", in.address.str())
+        .with("domain", in.fabric_domain.str())
+        .with("sequence", in.sequence)
+        .write();
+}
+
+} // namespace
+
+control_api::control_api(const platform_adapter& platform, const fleet_state& state,
+                         fleet_leader& leader, control_metrics& metrics, hooks hooks)
+    : platform_{platform}, state_{state}, leader_{leader}, metrics_{metrics}, hooks_{
+                                                                                  std::move(hooks)}
+{
+}
+
+void control_api::on_call(const http_request& request, const reply_ptr& reply)
+{
+    const auto path = std::string_view{request.target}.substr(0, request.target.find('?'));
+    const auto parsed = platform_.read_call(request.method, path);
+    if (parsed.call == control_call::unknown) {
+        answer(reply, http_status::not_found, R"({"error":"unknown call"})");
+        return;
+    }
+    if (parsed.call == control_call::check_readiness) {
+        answer(reply, hooks_.is_ready() ? http_status::ok : http_status::service_unavailable);
+        return;
+    }
+    if (!redirect(request, reply)) {
+        dispatch(parsed, request, reply);
+    }
+}
+
+bool control_api::redirect(const http_request& request, const reply_ptr& reply)
+{
+    if (hooks_.leads()) {
+        return false;
+    }
+    const auto leader = hooks_.leader();
+    if (!leader) {
+        answer(reply, http_status::service_unavailable, R"({"error":"no leader is known"})");
+        return true;
+    }
+    http_head head{http_status::temporary_redirect, {}};
+    head.fields.add("Location", "http://" + leader->str() + request.target);
+    reply->send(std::move(head), "");
+    return true;
+}
+
+void control_api::dispatch(const parsed_call& parsed, const http_request& request,
+                           const reply_ptr& reply)
+{
+    switch (parsed.call) {
+    case control_call::put_configuration:
+        put_configuration(request, reply);
+        break;
+    case control_call::get_configuration:
+        get_configuration(reply);
+        break;
+    case control_call::heartbeat:
+        take_heartbeat(parsed.runner, request, reply);
+        break;
+    default:
+        take_departure(parsed.runner, true, reply);
+        break;
+    }
+}
+
+void control_api::put_configuration(const http_request& request, const reply_ptr& reply)
+{
+    reason why;
+    const auto read = platform_.read_configuration(request.body, why);
+    if (!read) {
+        log_line("configuration").with("outcome", "invalid").with("reason", why.str()).write();
+        answer(reply, http_status::bad_request, R"({"error":"the configuration is not valid"})");
+        return;
+    }
+    if (read->version <= state_.version()) {
+        log_configuration("not newer", read->version, state_.version());
+        answer(reply, http_status::ok);
+        return;
+    }
+    propose_configuration(read->version, request.body, reply);
+}
+
+void control_api::propose_configuration(std::uint64_t version, const std::string& document,
+                                        const reply_ptr& reply)
+{
+    const auto now = steady_now();
+    const bool proposed = hooks_.propose(
+        fleet_state::put_configuration(version, document),
+        [this, reply, version, now](const std::optional<std::string>& applied) {
+            const auto status = applied ? http_status::ok : http_status::service_unavailable;
+            metrics_.observe_commit(steady_now() - now);
+            metrics_.count_call(std::string{name_of(control_call::put_configuration)}, status);
+            log_configuration(applied ? "accepted" : "unknown", version, state_.version());
+            if (applied) {
+                hooks_.on_committed();
+            }
+            answer(reply, status);
+        });
+    if (!proposed) {
+        answer(reply, http_status::service_unavailable);
+    }
+}
+
+void control_api::get_configuration(const reply_ptr& reply)
+{
+    if (state_.version() == 0) {
+        answer(reply, http_status::service_unavailable, R"({"error":"no configuration yet"})");
+        return;
+    }
+    answer(reply, http_status::ok, state_.document());
+}
+
+void control_api::take_heartbeat(const runner_id& runner, const http_request& request,
+                                 const reply_ptr& reply)
+{
+    reason why;
+    const auto read = platform_.read_announcement(runner, request.body, why);
+    if (!read) {
+        log_line("heartbeat_refused")
+            .with("runner", runner.str())
+            .with("reason", why.str())
+            .write();
+        answer(reply, http_status::bad_request, R"({"error":"the heartbeat is not valid"})");
+        return;
+    }
+    const bool is_new = leader_.registry().find(runner) == nullptr;
+    leader_.announce(steady_now(), *read);
+    if (is_new) {
+        log_new_runner(*read);
+    }
+    if (read->draining && !state_.is_leaving(runner)) {
+        take_departure(runner, false, reply);
+        return;
+    }
+    answer(reply, http_status::ok, "{}");
+}
+
+void control_api::take_departure(const runner_id& runner, bool gone, const reply_ptr& reply)
+{
+    if (gone ? state_.is_gone(runner) : state_.is_leaving(runner)) {
+        answer(reply, http_status::ok, "{}");
+        return;
+    }
+    const bool proposed = hooks_.propose(
+        fleet_state::depart(runner, gone),
+        [this, reply, runner, gone](const std::optional<std::string>& applied) {
+            log_line("departure")
+                .with("runner", runner.str())
+                .with("gone", gone)
+                .with("outcome", applied ? "accepted" : "unknown")
+                .write();
+            if (applied) {
+                hooks_.on_committed();
+            }
+            answer(reply, applied ? http_status::ok : http_status::service_unavailable, "{}");
+        });
+    if (!proposed) {
+        answer(reply, http_status::service_unavailable);
+    }
+}
+
+} // namespace cedarpoint
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -3,7 +3,10 @@
 #include "cedarpoint/config/fleet_settings.h"
 #include "cedarpoint/consensus/replicated_log.h"
 #include "cedarpoint/fleet/fleet_leader.h"
+#include "control_daemon/control_api.h"
 #include "control_daemon/control_metrics.h"
+#include "control_daemon/log_membership.h"
+#include "control_daemon/provisional_views.h"
 #include "control_daemon/runner_orders.h"
 #include "io/http_listener.h"
 #include "io/mesh.h"
@@ -11,14 +14,16 @@
 
 #include <QTimer>
 
+#include <cstdint>
 #include <functional>
 #include <memory>
-#include <string>
+#include <optional>
 
 namespace cedarpoint {
 
-/// A control daemon: a voter of the log that holds the configuration; while it leads, also the
-/// registry of runners and the one that forms groups.
+/// A control daemon: the sockets, files and timers round a voter of the replicated log and, while
+/// it leads, round `fleet_leader`. Passes messages on, carries out the planner's steps, and pushes
+/// the view to entry daemons.
 class control_daemon {
 public:
     /// Empty with `why` if a listener or the data folder can't be had.
@@ -37,30 +42,33 @@
     bool open(reason& why);
     bool open_log(reason& why);
     bool open_listeners(reason& why);
+    void open_orders();
+    void open_api();
+    [[nodiscard]] replicated_log::options make_log_options() const;
+
     void tick();
+    /// False once the disk has failed: the process ends.
+    bool is_disk_fine();
+    void note_leader();
     void lead(instant now);
+    void carry_out(instant now, const planner_step& step);
+    void drop_lost_followers(instant now);
     void push_view(instant now);
-    void keep_members(instant now);
-    bool change_member(instant now, const member_id& member, bool present, bool voter);
-    void ask_to_join();
-    void on_join(instant now, const wire::envelope& in);
+    void log_plan(instant now);
+
     void receive(const wire::envelope& in);
-    void on_probe_failed(const runner_id& runner, probe_failure how);
     void on_follow(instant now, const wire::envelope& in);
-    /// Adds a provisional view for an entry daemon that has none, while no leader is known.
-    void offer_provisional(const wire::fleet_follow& to, wire::fleet_update& out);
+    void on_order_end(const group_order& order, order_result result);
+    void on_probe_failed(const runner_id& runner, probe_failure how);
     void send(const daemon_id& to, wire::envelope out);
+
+    /// True while this daemon holds the leader's lease.
     [[nodiscard]] bool leads(instant now) const;
+    /// True once it has also begun the term as the fleet's leader.
+    [[nodiscard]] bool has_begun_to_lead(instant now) const;
     [[nodiscard]] bool is_ready(instant now) const;
-
-    void on_call(const http_request& request, const reply_ptr& reply);
-    bool send_elsewhere(const http_request& request, const reply_ptr& reply);
-    void put_configuration(const http_request& request, const reply_ptr& reply);
-    void get_configuration(const reply_ptr& reply);
-    void take_heartbeat(const runner_id& runner, const http_request& request,
-                        const reply_ptr& reply);
-    void take_departure(const runner_id& runner, bool gone, const reply_ptr& reply);
-    void answer(const reply_ptr& reply, int status, const std::string& body = {}) const;
+    /// Where the leader takes calls; empty if none is known, or this daemon is it.
+    [[nodiscard]] std::optional<endpoint> leader_api() const;
 
     fleet_settings own_;
     daemon_id id_;
@@ -68,17 +76,18 @@
     posix_file_system files_;
     fleet_state state_;
     fleet_leader leader_;
-    control_metrics figures_;
+    provisional_views provisional_views_;
+    control_metrics metrics_;
     mesh mesh_;
     std::unique_ptr<replicated_log> log_;
+    std::unique_ptr<log_membership> membership_;
     std::unique_ptr<runner_orders> orders_;
-    std::unique_ptr<http_listener> control_;
-    std::unique_ptr<http_listener> metrics_;
+    std::unique_ptr<control_api> api_;
+    std::unique_ptr<http_listener> api_listener_;
+    std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
     std::uint64_t led_term_ = 0; ///< the term that this process leads or led last
     daemon_id known_leader_;
-    wire::fleet_update provisional_; ///< the latest that was made
-    instant next_membership_;
     instant next_refresh_;
     instant next_summary_;
     bool stopping_ = false;
--- /dev/null
+++ b/src/control_daemon/log_membership.cpp
@@ -0,0 +1,112 @@
+#include "control_daemon/log_membership.h"
+
+#include "io/log_line.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace cedarpoint {
+namespace {
+
+/// Time between two looks at the members. Not measured.
+constexpr duration check_interval = milliseconds{500};
+
+} // namespace
+
+log_membership::log_membership(options options, replicated_log& log, sender send)
+    : options_{std::move(options)}, log_{log}, send_{std::move(send)}
+{
+}
+
+void log_membership::tick(instant now, bool leads)
+{
+    if (now < next_check_) {
+        return;
+    }
+    next_check_ = now + check_interval;
+    if (!leads) {
+        ask_to_join();
+        return;
+    }
+    if (const auto next = next_membership_change(now, log_.raft(), options_.wanted_voters)) {
+        apply(now, *next);
+    }
+}
+
+void log_membership::apply(instant now, const membership_change& next)
+{
+    switch (next.kind) {
+    case membership_change::kind_t::promote:
+        change(now, next.member, true, true);
+        return;
+    case membership_change::kind_t::demote:
+        change(now, next.member, true, false);
+        // A learner takes its place at once: until then the log bears one loss less.
+        next_check_ = now;
+        return;
+    case membership_change::kind_t::remove:
+        change(now, next.member, false, false);
+        return;
+    }
+}
+
+void log_membership::change(instant now, const member_id& member, bool present, bool voter)
+{
+    // Refused while an earlier change is not committed yet; the next look tries again.
+    if (log_.change_membership(now, member, present, voter)) {
+        log_line("member")
+            .with("member", member.str())
+            .with("present", present)
+            .with("voter", voter)
+            .write();
+    }
+}
+
+void log_membership::ask_to_join()
+{
+    // A member that was removed while it was away doesn't know that, so it asks as well.
+    if (!log_.raft().leader().empty()) {
+        return;
+    }
+    for (const auto& seed : options_.seeds) {
+        wire::envelope out;
+        out.mutable_join()->set_log(options_.log_name);
+        out.mutable_join()->set_member(options_.self.str());
+        send_(seed, std::move(out));
+    }
+}
+
+bool log_membership::is_member(const member_id& member) const
+{
+    const auto& members = log_.raft().members().members();
+    return std::any_of(members.begin(), members.end(),
+                       [&](const auto& each) { return each.id() == member.str(); });
+}
+
+void log_membership::on_join(instant now, bool leads, const wire::envelope& in)
+{
+    const member_id member{in.join().member()};
+    if (!leads) {
+        pass_on(in);
+        return;
+    }
+    // A member's id is its address.
+    if (!is_member(member) && endpoint::parse(member.str())) {
+        change(now, member, true, false);
+    }
+}
+
+void log_membership::pass_on(const wire::envelope& in)
+{
+    // The seeds that a daemon asks need not lead. Passed on once, or two members that take each
+    // other for the leader would pass it on for ever.
+    const daemon_id leader{log_.raft().leader().str()};
+    if (leader.empty() || in.from() != in.join().member()) {
+        return;
+    }
+    wire::envelope out;
+    *out.mutable_join() = in.join();
+    send_(leader, std::move(out));
+}
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/control_daemon/log_membership.h
@@ -0,0 +1,49 @@
+#pragma once
+
+#include "cedarpoint/consensus/membership_policy.h"
+#include "cedarpoint/consensus/replicated_log.h"
+#include "cedarpoint/core/endpoint.h"
+#include "cedarpoint/core/ids.h"
+#include "cedarpoint/core/time.h"
+#include "control.pb.h"
+
+#include <cstddef>
+#include <functional>
+#include <string>
+#include <vector>
+
+namespace cedarpoint {
+
+/// This control daemon's part in the membership of the log: as the leader it carries out what
+/// `membership_policy` decides; as one that hears no leader it asks to join.
+class log_membership {
+public:
+    struct options {
+        daemon_id self;
+        std::vector<daemon_id> seeds; ///< asked for the leader
+        std::string log_name;
+        std::size_t wanted_voters = 3;
+    };
+    using sender = std::function<void(const daemon_id&, wire::envelope)>;
+
+    log_membership(options options, replicated_log& log, sender send);
+
+    /// `leads`: this daemon holds the leader's lease.
+    void tick(instant now, bool leads);
+    /// A daemon asks to join, or a member passes that on.
+    void on_join(instant now, bool leads, const wire::envelope& in);
+
+private:
+    void apply(instant now, const membership_change& change);
+    void change(instant now, const member_id& member, bool present, bool voter);
+    void ask_to_join();
+    void pass_on(const wire::envelope& in);
+    [[nodiscard]] bool is_member(const member_id& member) const;
+
+    options options_;
+    replicated_log& log_;
+    sender send_;
+    instant next_check_;
+};
+
+} // namespace cedarpoint
