--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -78,9 +78,8 @@
     [[nodiscard]] std::vector<runner_spec> watched(instant now) const;
 
     [[nodiscard]] const domain_state& domain() const;
-    /// Null on a daemon that has no part in the root's log.
-    [[nodiscard]] const root_state* root() const;
     [[nodiscard]] const replicated_log& domain_log() const { return *domain_log_; }
+    /// Null on a daemon that is no voter of the root's log.
     [[nodiscard]] const replicated_log* root_log() const { return root_log_.get(); }
     [[nodiscard]] const runner_watch& watch() const { return watch_; }
     [[nodiscard]] std::optional<instant> granted_at(instant now) const;
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -19,11 +19,6 @@
     return domain_->state;
 }
 
-const root_state* control_plane::root() const
-{
-    return root_ == nullptr ? nullptr : &root_->state;
-}
-
 std::optional<instant> control_plane::granted_at(instant now) const
 {
     return domain_log_->raft().granted_at(now);
