--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -19,7 +19,6 @@
     };
     constexpr row table[] = {
         {"relay", cedarpoint::bench::run_relay_bench},
-        {"control", cedarpoint::bench::run_control_bench},
         {"failover", cedarpoint::bench::run_failover_bench},
     };
     int known = 0;
@@ -34,7 +33,7 @@
         }
     }
     if (known == 0) {
-        fmt::print(stderr, "no such figures; there are relay, control, failover\n");
+        fmt::print(stderr, "no such figures; there are relay, failover\n");
     }
     return known == 0 ? 1 : 0;
 }
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -11,6 +11,7 @@
 
 constexpr duration step_time = milliseconds{10};
 constexpr duration load_time = milliseconds{500};
+constexpr milliseconds watch_interval{200};
 constexpr int group_size = 4;
 
 std::string zone_name(int n)
@@ -18,19 +19,6 @@
     return std::string(1, static_cast<char>('a' + n));
 }
 
-/// Adds the time of its life to a sum.
-class stopwatch {
-public:
-    explicit stopwatch(std::chrono::duration<double>& sum) : sum_{sum} {}
-    stopwatch(const stopwatch&) = delete;
-    stopwatch& operator=(const stopwatch&) = delete;
-    ~stopwatch() { sum_ += std::chrono::steady_clock::now() - from_; }
-
-private:
-    std::chrono::duration<double>& sum_;
-    std::chrono::steady_clock::time_point from_ = std::chrono::steady_clock::now();
-};
-
 std::string zone_of(const std::string& name)
 {
     return name.substr(0, 1);
@@ -63,7 +51,7 @@
         it->own.failure_domain = peer.failure_domain;
         it->own.daemons = peer.address;
         it->own.peers = peers;
-        it->own.watch_interval = milliseconds{options_.watch_ms};
+        it->own.watch_interval = watch_interval;
         it->has_disk = peer.domain_voter && !options_.diskless;
         it->own.data_folder = "data";
         hosts_[peer.id.str()] = std::move(it);
@@ -105,16 +93,6 @@
     }
 }
 
-void world::start_counting()
-{
-    messages = 0;
-    message_bytes = 0;
-    for (auto& [name, it] : hosts_) {
-        it->spent = {};
-        it->sent_bytes = 0;
-    }
-}
-
 void world::kill(const std::string& daemon)
 {
     at(daemon).plane.reset();
@@ -161,9 +139,6 @@
 
 void world::post(const std::string& from, const std::string& to, const wire::envelope& what)
 {
-    ++messages;
-    message_bytes += what.ByteSizeLong();
-    at(from).sent_bytes += what.ByteSizeLong();
     std::uniform_int_distribution<int> percent(0, 99);
     std::uniform_int_distribution<int> delay(1, options_.longest_delay_ms);
     if (is_cut(from, to) || percent(random_) < options_.loss_percent) {
@@ -190,18 +165,17 @@
             to.held.push_back(it.what); // it will read old messages when it comes back
         }
         else if (to.plane != nullptr) {
-            const stopwatch running{to.spent};
             to.plane->receive(now_, it.what);
         }
     }
 }
 
-void world::look(const std::string& /*name*/, host& it)
+void world::look(host& it)
 {
     if (now_ < it.next_look) {
         return;
     }
-    it.next_look = now_ + milliseconds{options_.watch_ms};
+    it.next_look = now_ + watch_interval;
     for (const auto& runner : it.plane->watched(now_)) {
         const auto& engine = engines_.at(runner.node.str());
         if (engine.alive) {
@@ -237,21 +211,16 @@
         if (it->plane == nullptr || it->paused) {
             continue;
         }
-        {
-            const stopwatch running{it->spent};
-            for (const auto& what : std::exchange(it->held, {})) {
-                it->plane->receive(now_, what);
-            }
-            look(name, *it);
-            it->plane->tick(now_);
+        for (const auto& what : std::exchange(it->held, {})) {
+            it->plane->receive(now_, what);
         }
+        look(*it);
+        it->plane->tick(now_);
         if (it->plane->failure()) {
             kill(name); // as the process ends itself
         }
     }
-    if (checking_) {
-        check();
-    }
+    check();
 }
 
 void world::run(milliseconds time)
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -27,7 +27,6 @@
     int loss_percent = 0;
     int double_percent = 0;
     int longest_delay_ms = 5;
-    int watch_ms = 200; ///< between two looks at a runner; the product's default is 1000
 };
 
 /// A few control planes with faked time, messages, disks and engines. Everything follows from the
@@ -76,24 +75,11 @@
     [[nodiscard]] bool in_force_everywhere(std::uint64_t revision) const;
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::uint64_t steps() const { return steps_; }
-    /// For benches: the invariants' cost would be counted as the planes'.
-    void stop_checking() { checking_ = false; }
-    void start_counting();
-    [[nodiscard]] double spent_seconds(const std::string& daemon) const
-    {
-        return hosts_.at(daemon)->spent.count();
-    }
-    [[nodiscard]] std::uint64_t sent_bytes(const std::string& daemon) const
-    {
-        return hosts_.at(daemon)->sent_bytes;
-    }
     [[nodiscard]] const std::string& broken() const { return broken_; }
 
     std::vector<std::string> answers; ///< of operators and claims, in the order they came
     std::vector<std::string> events;  ///< of groups
     std::map<std::string, std::set<std::string>> granted; ///< holders by key
-    std::uint64_t messages = 0;
-    std::uint64_t message_bytes = 0;
 
 private:
     struct host {
@@ -104,8 +90,6 @@
         bool has_disk = true;
         instant next_look;
         std::uint64_t starts = 0;
-        std::chrono::duration<double> spent{0}; ///< real time inside the plane
-        std::uint64_t sent_bytes = 0;
         std::uint64_t newest_revision = 0;
         std::vector<wire::envelope> held; ///< came while it was paused
     };
@@ -127,7 +111,7 @@
     host& at(const std::string& daemon) { return *hosts_.at(daemon); }
     void step();
     void deliver();
-    void look(const std::string& name, host& it);
+    void look(host& it);
     void take_order(const runner_order& order);
     void post(const std::string& from, const std::string& to, const wire::envelope& what);
     [[nodiscard]] bool is_cut(const std::string& from, const std::string& to) const;
@@ -148,7 +132,6 @@
     std::uint64_t steps_ = 0;
     group_invariants invariants_;
     std::string broken_;
-    bool checking_ = true;
 };
 
 } // namespace cedarpoint::testing_support
