--- a/include/cedarpoint/claims/claim.h
+++ b/include/cedarpoint/claims/claim.h
@@ -7,28 +7,28 @@
 
 namespace cedarpoint {
 
-/// A caller's key for a request that must run at most once. Keys of two accounts never meet.
+/// A caller's idempotency key. Keys of different accounts are different keys.
 struct claim_key {
     client_account_id account;
     std::string key;
     friend auto operator<=>(const claim_key&, const claim_key&) = default;
 };
 
-/// What is known of a claimed request.
+/// The outcome of a claimed request.
 enum class claim_outcome {
-    running,      ///< its holder has not reported an end
+    running,      ///< its holder has not reported an outcome
     ran,          ///< it ran and its caller got the whole answer
-    may_have_run, ///< it was cut somewhere after the first byte went to a runner
-    not_run       ///< its holder gave it up unsent: the key is free again
+    may_have_run, ///< it was interrupted after its first byte was sent to a runner
+    not_run       ///< its holder released the claim before a byte was sent: the key is free again
 };
 
 /// The answer to a claim.
 enum class claim_verdict {
-    granted,     ///< the asker, and no one else, may run it
-    running,     ///< another holder has it
+    granted,     ///< this holder, and no other, may run it
+    running,     ///< another holder has the claim
     already_ran, ///< it ran
     unknown_end, ///< it may have run
-    unavailable  ///< no authority could be asked: nothing may run
+    unavailable  ///< the home domain's leader did not answer in time: nothing may run
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/claims/claim_table.h
+++ b/include/cedarpoint/claims/claim_table.h
@@ -9,8 +9,9 @@
 
 namespace cedarpoint {
 
-/// Part of a failure domain's replicated state: who holds each key. All replicas apply the same
-/// commands in the same order, so time comes with the command (wall time, ms).
+/// The holder and outcome of each claimed key, part of a failure domain's replicated state.
+/// Owns: the claims of the last 24 h. Relies on: all replicas applying the same commands in the
+/// same order; so time comes with the command (wall time, ms).
 class claim_table {
 public:
     /// A key is remembered for this long after its claim (24 h, in ms): what docs/API.md promises
@@ -23,9 +24,10 @@
         std::uint64_t claimed_ms = 0;
     };
 
-    /// The same holder asking again gets the same grant: its first answer may have been lost.
+    /// Idempotent: a retry by the holder gets the same grant, as the first answer may have been
+    /// lost.
     claim_verdict begin(const claim_key& key, const request_id& holder, std::uint64_t now_ms);
-    /// Only the holder can end a claim, and only once.
+    /// Ignored unless `holder` holds the claim and has not finished it yet.
     void finish(const claim_key& key, const request_id& holder, claim_outcome outcome);
 
     [[nodiscard]] const std::map<claim_key, record>& records() const { return records_; }
@@ -36,7 +38,7 @@
 
     std::map<claim_key, record> records_;
     std::deque<std::pair<std::uint64_t, claim_key>> by_age_;
-    std::uint64_t latest_ms_ = 0; ///< never goes back, whatever a proposer's clock says
+    std::uint64_t latest_ms_ = 0; ///< monotonic, also if a proposer's clock is behind
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/consensus/raft_node.h
+++ b/include/cedarpoint/consensus/raft_node.h
@@ -16,15 +16,14 @@
 
 namespace cedarpoint {
 
-/// A voter or learner of one log. A daemon with a disk keeps its id; one without takes a new id at
-/// each start, because it has forgotten what it promised.
+/// A voter or learner of one log; the id of its daemon, with or without a disk.
 using member_id = id<struct member_tag>;
 
-/// What a member without any state knows of its past.
+/// What a member without any stored state may assume about earlier votes and entries.
 enum class start_mode {
-    unknown, ///< new, or without the disk that it had: it may only begin a log with all others
-    first,   ///< the whole system starts for the first time: nobody can remember anything
-    later    ///< the system has run before: whatever it promised is lost until it has caught up
+    unknown, ///< new, or its disk was lost: it helps to begin a log only if all voters take part
+    first,   ///< the whole system starts for the first time: no member has voted or stored anything
+    later    ///< the system has run before: it votes only after it has caught up with a leader
 };
 
 /// Times and bounds of one log.
@@ -45,24 +44,25 @@
     start_mode start = start_mode::unknown;
 };
 
-/// What a log's folder gave back at start.
+/// The stored state that a member starts from.
 struct raft_state {
     wire::hard_state hard;
-    wire::log_snapshot snapshot; ///< index 0: none
-    std::vector<wire::log_entry> entries;
+    wire::log_snapshot snapshot;          ///< index 0: none
+    std::vector<wire::log_entry> entries; ///< after the snapshot
     [[nodiscard]] bool is_fresh() const
     {
         return hard.term() == 0 && snapshot.index() == 0 && entries.empty();
     }
 };
 
-/// A message and whom it is for.
+/// A message and its receiver.
 struct raft_envelope {
     member_id to;
     wire::raft_message message;
 };
 
-/// What is to be done after a call, in this order: make `batch` and `install` durable, send, apply.
+/// The output of a call, to be carried out in this order: make `batch` and `install` durable, send
+/// the messages, apply the committed entries.
 struct raft_output {
     wire::storage_batch batch;
     bool has_batch = false;
@@ -72,16 +72,18 @@
 };
 
 /// One member of one replicated log: elections with pre-vote, replication, snapshots, membership
-/// changes one at a time, leader lease and grants to followers. No I/O; time is an argument.
-/// After each call the owner takes `take_output` and carries it out.
+/// changes one at a time, leader lease and grants to followers.
+/// Owns: the log after the last snapshot, the snapshot and the hard state, in memory.
+/// Relies on: its owner to call `take_output` after each call and carry it out, and on clocks that
+/// run apart by no more than `raft_options::drift`. No I/O; time is an argument.
 class raft_node {
 public:
     enum class role { follower, pre_candidate, candidate, leader };
 
-    /// A member without any state may be new, or may have lost its disk with what it promised. So
-    /// it does not vote until it has caught up with a leader; and the first leader of all needs the
-    /// votes of all voters, which proves that none of them remembers anything.
-    /// `bootstrap` is the membership of a log that has never been written anywhere.
+    /// A member without any state may be new, or may have lost its disk with its votes and entries.
+    /// So it does not vote until it has caught up with a leader; and the first leader of a log
+    /// needs the votes of all voters, which proves that none of them has stored anything.
+    /// `bootstrap` is the membership of a log without any entry.
     raft_node(instant now, member_id self, const wire::membership& bootstrap, raft_state state,
               raft_options options, std::uint64_t seed);
 
@@ -91,13 +93,15 @@
     std::optional<std::uint64_t> propose(instant now, std::string command);
     /// Adds, promotes or removes one member. False while an earlier change is not committed.
     bool change_membership(instant now, const member_id& member, bool present, bool voter);
-    /// The state machine's state at `index`, which has been applied: older entries can go.
+    /// Makes `state`, the state machine's at the applied entry `index`, the snapshot and drops the
+    /// entries up to it.
     void compact(std::uint64_t index, std::string state);
     [[nodiscard]] raft_output take_output();
 
     [[nodiscard]] role at() const { return role_; }
     [[nodiscard]] bool is_leader() const { return role_ == role::leader; }
-    /// The leader that this member last heard; empty if none lately.
+    /// The leader of the last append; empty if none is known or none sent one for two election
+    /// timeouts.
     [[nodiscard]] const member_id& leader() const { return leader_; }
     [[nodiscard]] std::uint64_t term() const { return hard_.term(); }
     [[nodiscard]] std::uint64_t commit() const { return commit_; }
@@ -106,16 +110,18 @@
     /// True while no other leader can exist: reads here are current, and orders may be given.
     /// Needs an entry of its own term committed.
     [[nodiscard]] bool holds_lease(instant now) const;
-    /// The latest moment, by this member's clock, of which it knows that the state that it has
-    /// applied was the leader's. What rests on that state may be used until this plus the grant
-    /// time.
+    /// The latest time, by this member's clock, at which its applied state is known to have been
+    /// the leader's; a leader under its lease: `now`. Empty: none. Targets from that state are
+    /// valid until this plus the grant's lifetime.
     [[nodiscard]] std::optional<instant> granted_at(instant now) const;
     [[nodiscard]] const wire::membership& members() const { return members_; }
     [[nodiscard]] bool is_voter(const member_id& it) const;
+    /// Leader: the last index known to be on the member; 0 if nothing is known.
     [[nodiscard]] std::uint64_t match_of(const member_id& it) const;
-    /// Leader: since when a member has not answered, counted from the beginning of its term at
-    /// most.
+    /// Leader: the time since the sending of the last append that the member answered, or since the
+    /// beginning of the term if it answered none.
     [[nodiscard]] duration silence_of(instant now, const member_id& it) const;
+    /// Leader: when the last answered append was sent; empty if none was answered in this term.
     [[nodiscard]] std::optional<instant> heard_from(const member_id& it) const;
     [[nodiscard]] const wire::log_snapshot& snapshot() const { return snapshot_; }
     /// Everything durable that is not in the snapshot.
@@ -125,8 +131,8 @@
     struct progress {
         std::uint64_t next = 1;
         std::uint64_t match = 0;
-        bool probing = true;          ///< where the logs meet is not known: one message at a time
-        std::optional<instant> acked; ///< our clock at the sending of the latest answered message
+        bool probing = true;          ///< the last matching index is unknown: one append at a time
+        std::optional<instant> acked; ///< this clock at the sending of the latest answered append
         std::int64_t follower_stamp = 0;
         std::optional<instant> snapshot_sent;
     };
@@ -166,10 +172,10 @@
     [[nodiscard]] std::uint64_t last_term() const;
     [[nodiscard]] std::optional<std::uint64_t> term_at(std::uint64_t index) const;
     [[nodiscard]] std::size_t quorum() const;
-    /// A random part of a third of the election timeout: daemons that start together don't collide.
+    /// A random part of a third of the election timeout, to separate daemons that start together.
     duration short_delay();
     [[nodiscard]] instant lease_basis(instant now) const;
-    /// A leader that a quorum has answered within an election timeout.
+    /// True for a leader whose appends a quorum has answered within an election timeout.
     [[nodiscard]] bool is_upheld(instant now) const;
     [[nodiscard]] const wire::log_entry& entry_at(std::uint64_t index) const;
 
@@ -195,7 +201,7 @@
     instant lead_since_;
     std::optional<instant> leader_heard_;
     instant started_;
-    instant no_vote_until_; ///< a restarted voter may have upheld a lease just before
+    instant no_vote_until_; ///< a lease from before this voter's restart may still run
     std::optional<instant> granted_;
     std::uint64_t granted_commit_ = 0;
 
--- a/include/cedarpoint/consensus/replicated_log.h
+++ b/include/cedarpoint/consensus/replicated_log.h
@@ -13,7 +13,7 @@
 
 namespace cedarpoint {
 
-/// The state machine behind a log.
+/// The state machine of a log.
 class replicated_state {
 public:
     replicated_state() = default;
@@ -21,17 +21,21 @@
     replicated_state& operator=(const replicated_state&) = delete;
     virtual ~replicated_state() = default;
 
-    /// Applies one command; what it returns goes to whoever proposed it here.
+    /// Applies one command. The result is the answer for the proposer, if it is on this daemon.
     virtual std::string apply(const std::string& command) = 0;
     [[nodiscard]] virtual std::string save() const = 0;
+    /// False if `bytes` are not a saved state; nothing is changed then.
     virtual bool restore(const std::string& bytes) = 0;
 };
 
-/// One log of one daemon: consensus, its folder and its state machine, kept in step. What is
-/// durable is made so before anything is sent or applied.
+/// One daemon's replica of one log: it carries out the raft node's output on disk, network and
+/// state machine. Entries and votes are durable before a message is sent or an entry applied.
+/// Owns: the raft node and the log store. Relies on: the state machine and the sender, which it
+/// refers to, and on `tick` at short intervals.
 class replicated_log {
 public:
-    /// Called with the answer once the command is applied; empty if its fate is unknown.
+    /// Called with the answer once the command is applied; empty if it is unknown whether it will
+    /// be.
     using answer_handler = std::function<void(std::optional<std::string>)>;
     using sender = std::function<void(const member_id&, const wire::raft_message&)>;
 
@@ -48,7 +52,8 @@
         std::uint64_t snapshot_entries = 20'000;
     };
 
-    /// Without a folder nothing outlives the process. Empty with `why` if the folder is damaged.
+    /// `files` null: nothing outlives the process. Null with `why` if the folder is damaged or
+    /// can't be read.
     static std::unique_ptr<replicated_log> open(instant now, options options, file_system* files,
                                                 const std::string& folder, replicated_state& state,
                                                 sender send, reason& why);
@@ -57,11 +62,14 @@
     void receive(instant now, const member_id& from, const wire::raft_message& message);
     /// False if this is not the leader; then `done` is not called.
     bool propose(instant now, std::string command, answer_handler done);
+    /// See raft_node::change_membership.
     bool change_membership(instant now, const member_id& member, bool present, bool voter);
 
     [[nodiscard]] const raft_node& raft() const { return raft_; }
-    /// Set once the disk has failed: nothing is done from then on. The process should end.
+    /// Set once the disk has failed: the replica stops, and the process should end. Empty: no
+    /// failure.
     [[nodiscard]] const std::optional<reason>& failure() const { return failure_; }
+    /// Index of the last applied entry; 0 without any.
     [[nodiscard]] std::uint64_t applied() const { return applied_; }
 
 private:
--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -22,35 +22,44 @@
 
 namespace cedarpoint {
 
-/// One placement decision, for the log.
+/// One state change of a group, for the log.
 struct group_event {
     group_id group;
-    std::string state;
+    std::string state; ///< the new state, or "refused" with why in `reason`
     epoch assignment;
-    std::string nodes;
+    std::string nodes; ///< ids, separated by commas
     std::string reason;
 };
 
-/// What the control plane has others do for it.
+/// The control plane's output and its wall clock.
 struct control_hooks {
+    /// Sends a message to another daemon; it may be lost, doubled or late.
     std::function<void(const daemon_id&, const wire::envelope&)> send;
+    /// Sends an order to a runner; it is repeated until the runner's reports show it.
     std::function<void(const runner_order&)> order;
     std::function<void(const group_event&)> log;
+    /// Wall time in ms since 1970, for the age of claims only.
     std::function<std::uint64_t()> wall_ms;
 };
 
-/// The control side of one daemon: its part in the root's log and in its failure domain's log, the
-/// groups if it leads the domain, what it knows of the other domains. No I/O: messages, time and
-/// reports come in, messages and orders go out through hooks.
+/// The control side of one daemon that has a list of peers. It decides nothing about one request;
+/// it provides the targets for all of them.
+/// Owns: its replica of the domain's log and, on a root voter, of the root's log, with their
+/// states; the group controller, which works only while this daemon holds the domain's lease; the
+/// last views of the other domains.
+/// Relies on: the owner's calls of `tick` at short intervals, `receive` for each message and
+/// `on_report` for each look at a runner. No I/O: output goes through `control_hooks`.
 class control_plane {
 public:
     struct options {
         settings own;
         raft_options raft;
         control_options control;
-        std::uint64_t seed = 1;
+        std::uint64_t seed = 1; ///< of election timeouts and call ids; differs at each start
     };
 
+    /// `files` null: no disk, nothing outlives the process. Null with `why` if a log's folder can't
+    /// be read.
     static std::unique_ptr<control_plane> open(instant now, options options, file_system* files,
                                                control_hooks hooks, reason& why);
     ~control_plane();
@@ -59,22 +68,26 @@
 
     void tick(instant now);
     void receive(instant now, const wire::envelope& in);
-    /// A look at a runner that this daemon watches.
+    /// The answer of a runner that this daemon watches (see `watched`).
     void on_report(instant now, const runner_id& runner, const runner_report& report);
 
-    /// Operators' calls. The answer is empty if the authority could not be reached in time.
+    /// Operators' calls, retried for 10 s. An empty answer means that no leader answered in time:
+    /// the command may still be applied, and may be repeated without harm.
     using answer_handler = log_client::answer_handler;
     void submit_configuration(instant now, wire::config_change change, answer_handler done);
     void submit_drain(instant now, wire::drain_change change, answer_handler done);
+    /// Retried for 3 s; then the verdict is `unavailable`.
     void begin_claim(instant now, const ask_claim& ask, std::function<void(claim_verdict)> done);
+    /// Retried for 60 s; there is no answer.
     void finish_claim(instant now, const end_claim& end);
 
-    /// True once this daemon has known the authority's state since it started.
+    /// True once this daemon has had a grant or the lease since it started.
     [[nodiscard]] bool is_ready(instant now) const;
-    /// Places to send requests to, with the end of each grant.
+    /// All places to send requests to; each is valid until its own `valid_until`.
+    /// `own_in_flight`: this daemon's requests at a runner, which its reports count too.
     [[nodiscard]] target_table
     targets(instant now, const std::function<int(const runner_id&)>& own_in_flight) const;
-    /// The runners that this daemon has to look at.
+    /// The runners that this daemon has to poll, once per watch interval.
     [[nodiscard]] std::vector<runner_spec> watched(instant now) const;
 
     [[nodiscard]] const domain_state& domain() const;
@@ -82,11 +95,12 @@
     /// Null on a daemon that is no voter of the root's log.
     [[nodiscard]] const replicated_log* root_log() const { return root_log_.get(); }
     [[nodiscard]] const runner_watch& watch() const { return watch_; }
+    /// See raft_node::granted_at, of the domain's log. Empty: no grant yet.
     [[nodiscard]] std::optional<instant> granted_at(instant now) const;
     /// Accelerators of this domain's present nodes that are in no serving group.
     [[nodiscard]] int stranded_accelerators(instant now) const;
     [[nodiscard]] const remote_domains& others() const { return others_; }
-    /// Set when the disk has failed; the process must end.
+    /// Set when the disk has failed: the process must end. Empty: no failure.
     [[nodiscard]] std::optional<reason> failure() const;
 
 private:
--- a/include/cedarpoint/control/log_client.h
+++ b/include/cedarpoint/control/log_client.h
@@ -13,19 +13,23 @@
 
 namespace cedarpoint {
 
-/// Gets commands applied by a log whose leader may be elsewhere, or nowhere for a while. Asks
-/// again until an answer comes or the time is up: every command sent this way is one that may be
-/// repeated without harm.
+/// Submits commands to a replicated log whose leader may be on another daemon, or not elected.
+/// Retries until an answer comes or the command's limit has passed, so each command must be
+/// idempotent.
+/// Owns: the calls under way. Relies on: `tick` for retries and limits, `on_answer` for each
+/// answer, and its hooks for proposing and sending.
 class log_client {
 public:
+    /// An empty answer: none came within the limit; the command may still be applied.
     using answer_handler = std::function<void(std::optional<wire::command_answer>)>;
 
     struct hooks {
-        /// Proposes here, if this daemon leads the log. `done` may get an empty answer.
+        /// Proposes here; false if this daemon does not lead the log. An empty answer in `done`
+        /// means that the outcome is unknown.
         std::function<bool(instant, const std::string& log, const std::string& command,
                            std::function<void(std::optional<std::string>)> done)>
             propose_here;
-        /// Whom to ask, best first.
+        /// Daemons to ask, the last known leader first.
         std::function<std::vector<daemon_id>(const std::string& log)> daemons_of;
         std::function<void(const daemon_id&, wire::envelope)> send;
     };
@@ -37,12 +41,13 @@
     /// which redirects were not the cause.
     static constexpr int max_redirects = 3;
 
-    /// `first_call` differs at each start, so that an answer to an earlier process is not taken.
+    /// `first_call` differs at each start, so that answers to an earlier process match no call.
     log_client(hooks hooks, std::uint64_t first_call)
         : hooks_{std::move(hooks)}, last_call_{first_call}
     {
     }
 
+    /// `done` is called once, with an empty answer after `limit`.
     void submit(instant now, const std::string& log, const wire::command& command, duration limit,
                 answer_handler done);
     void on_answer(instant now, const wire::submit_answer& in);
--- a/include/cedarpoint/groups/group_controller.h
+++ b/include/cedarpoint/groups/group_controller.h
@@ -14,7 +14,7 @@
 
 namespace cedarpoint {
 
-/// What a runner is told to do. Orders of an older epoch are refused by runners that check it.
+/// An order to a runner. Runners that check epochs refuse one of an older epoch.
 struct runner_order {
     runner_id runner;
     endpoint address;
@@ -22,28 +22,29 @@
     bool load = true; ///< false: stop and become idle
     group_id group;
     int rank = 0; ///< place in the group; 0 takes the requests
-    int size = 0;
+    int size = 0; ///< nodes of the group
     model_id model;
     std::string version;
     std::vector<std::string> adapters;
     group_role role = group_role::converged;
 };
 
-/// A change that the controller wants committed.
+/// A change of the group table that the controller proposes to the domain's log.
 struct group_proposal {
     group_record record;                   ///< for an assignment: nodes and what to load
     group_state to = group_state::loading; ///< loading: a new assignment
-    epoch floor;                           ///< no new epoch at or below this
+    epoch floor;                           ///< a new assignment's epoch is above this
     std::string why;
 };
 
-/// What one look at the domain comes to.
+/// The output of one step of the controller.
 struct control_step {
     std::vector<group_proposal> proposals;
     std::vector<runner_order> orders;
 };
 
-/// Operators' marks: no group keeps or gets these nodes.
+/// Operators' drain marks: these groups, and groups with these nodes or runners, are drained and
+/// not formed again.
 struct drain_marks {
     std::set<node_id> nodes;
     std::set<group_id> groups;
@@ -73,17 +74,22 @@
     int loads_at_once = 2;
 };
 
-/// Runs the groups of one failure domain, on the one daemon that leads it. It proposes; the
-/// replicated group table decides. It acts (orders) only on what is committed.
+/// Forms, drains and repairs the groups of one failure domain, on the daemon that holds the
+/// domain's lease. It proposes; the replicated group table accepts or refuses. Orders follow
+/// committed records only.
+/// Owns: timers since a group's last state change and since a runner's last order; both are lost
+/// with the lease. Relies on: the group table, the runners' reports, and its caller to hold the
+/// lease.
 class group_controller {
 public:
     group_controller(control_options options, std::unique_ptr<placement_strategy> placement);
 
-    /// Looks at everything once. Call often; it repeats itself until the state follows.
+    /// One pass over all groups and nodes. Level-triggered: it repeats proposals and orders until
+    /// the committed state and the reports show them.
     [[nodiscard]] control_step step(instant now, const configuration& config,
                                     const group_table& groups, const runner_watch& watch,
                                     const drain_marks& drains);
-    /// Forgets timers: another daemon led in between.
+    /// Clears the timers; for the start of a new lease.
     void reset();
 
 private:
--- a/include/cedarpoint/groups/placement.h
+++ b/include/cedarpoint/groups/placement.h
@@ -13,7 +13,7 @@
 /// Nodes of one fabric domain that could join a group now.
 using free_nodes = std::map<fabric_domain_id, std::vector<node_id>>;
 
-/// One group that wants nodes.
+/// One declared group without nodes.
 struct placement_need {
     const pool_spec* pool = nullptr;
     group_id group;
@@ -25,7 +25,7 @@
     std::vector<node_id> nodes;
 };
 
-/// What a strategy may look at.
+/// The input of a strategy.
 struct placement_view {
     const configuration& config;
     const group_table& groups;
@@ -33,7 +33,8 @@
     std::vector<placement_need> needs;
 };
 
-/// A way to give free nodes to groups. Stateless; the same view gives the same answer.
+/// Assigns free nodes to groups. Owns nothing and keeps no state: the same view gives the same
+/// answer.
 class placement_strategy {
 public:
     placement_strategy() = default;
@@ -41,6 +42,7 @@
     placement_strategy& operator=(const placement_strategy&) = delete;
     virtual ~placement_strategy() = default;
 
+    /// One choice for each need that can be met now; empty if none can.
     [[nodiscard]] virtual std::vector<placement_choice> place(const placement_view& view) const = 0;
 };
 
--- a/include/cedarpoint/state/domain_state.h
+++ b/include/cedarpoint/state/domain_state.h
@@ -12,20 +12,23 @@
 
 namespace cedarpoint {
 
-/// What applying one command came to.
+/// The result of applying one command.
 struct domain_answer {
     std::string refused;                                ///< empty: applied
     claim_verdict verdict = claim_verdict::unavailable; ///< of a claim
 };
 
-/// The replicated state of one failure domain: the configuration in force, its groups, its claims
-/// and its operators' drain marks. Every replica applies the same commands in the same order.
+/// The replicated state machine of one failure domain.
+/// Owns: the configuration in force, the group table, the claims and the operators' drain marks.
+/// Relies on: its log, which gives every replica the same commands in the same order.
 class domain_state {
 public:
     domain_answer apply(const wire::command& command);
 
+    /// Never null; an empty configuration before the first one.
     [[nodiscard]] const std::shared_ptr<const configuration>& config() const { return config_; }
     [[nodiscard]] const wire::accepted_configuration& accepted() const { return accepted_; }
+    /// 0 before the first configuration.
     [[nodiscard]] revision in_force() const { return {accepted_.revision()}; }
     [[nodiscard]] const group_table& groups() const { return groups_; }
     [[nodiscard]] const claim_table& claims() const { return claims_; }
--- a/include/cedarpoint/state/root_state.h
+++ b/include/cedarpoint/state/root_state.h
@@ -15,7 +15,7 @@
 /// How a change of configuration ended.
 enum class change_verdict { accepted, conflict, reused_id, invalid };
 
-/// The answer to a change; the same for every resend.
+/// The answer to a change; a resend of the same change gets the same one.
 struct change_outcome {
     change_verdict verdict = change_verdict::invalid;
     revision accepted_as;      ///< of an accepted change
@@ -24,7 +24,9 @@
     faults found;
 };
 
-/// The replicated state of the root: the one configuration in force and the answers given so far.
+/// The replicated state machine of the root, which orders the changes of configuration.
+/// Owns: the one configuration in force and the answers to the latest changes.
+/// Relies on: its log, which gives every replica the same changes in the same order.
 class root_state {
 public:
     /// Answers are kept for this many changes: over a day at 27,000 a day, the target in
@@ -32,13 +34,14 @@
     static constexpr std::size_t kept_answers = 50'000;
 
     change_outcome apply(const wire::config_change& change);
-    /// The answer already given to this change, if any.
+    /// The answer already given to this change; null if none is kept.
     [[nodiscard]] const wire::change_answer* answer_of(const std::string& change) const;
 
     [[nodiscard]] const wire::accepted_configuration& accepted() const { return accepted_; }
     [[nodiscard]] revision in_force() const { return {accepted_.revision()}; }
 
     [[nodiscard]] std::string save() const;
+    /// False if `bytes` are not a saved state; nothing is changed then.
     bool restore(const std::string& bytes);
 
 private:
--- a/include/cedarpoint/storage/file_system.h
+++ b/include/cedarpoint/storage/file_system.h
@@ -8,8 +8,8 @@
 
 namespace cedarpoint {
 
-/// The few file operations that durable state needs, so that tests can tear and fail them.
-/// Every operation that returns false has filled `why`.
+/// The file operations that durable state needs; an interface, so that tests can fail them or leave
+/// torn writes. Each operation that returns false has filled `why`.
 class file_system {
 public:
     file_system() = default;
@@ -17,9 +17,10 @@
     file_system& operator=(const file_system&) = delete;
     virtual ~file_system() = default;
 
-    /// The whole file; an empty optional with an empty step in `why` means that there is none.
+    /// The whole file. Empty with an empty `why.step`: there is no such file; empty with a step:
+    /// it failed.
     virtual std::optional<std::string> read(const std::string& path, reason& why) = 0;
-    /// Appends and syncs: once this returns true, the bytes last.
+    /// Appends and syncs: once this returns true, the bytes are durable.
     virtual bool append_synced(const std::string& path, const std::string& bytes, reason& why) = 0;
     /// Replaces the file as a whole: written beside it, synced, renamed, folder synced.
     virtual bool replace(const std::string& path, const std::string& bytes, reason& why) = 0;
--- a/include/cedarpoint/storage/log_store.h
+++ b/include/cedarpoint/storage/log_store.h
@@ -11,20 +11,24 @@
 
 namespace cedarpoint {
 
-/// One log's folder: "snapshot" and "log", both versioned and checksummed. A torn last frame is
-/// cut off at opening: it was never vouched for. Damage before the last frame is refused.
+/// The durable part of one replicated log: a folder with the files "snapshot" and "log", both
+/// versioned and checksummed. A torn last frame is truncated at opening, as it was never
+/// acknowledged; damage before the last frame is an error.
+/// Owns: the two files. Relies on: a file_system that syncs before it returns.
 class log_store {
 public:
-    /// Opens or makes the folder and reads what it holds into `state`. Empty with `why` on damage.
+    /// Opens or makes the folder and reads its content into `state`. Null with `why` on damage or a
+    /// failed operation.
     static std::unique_ptr<log_store> open(file_system& files, const std::string& folder,
                                            raft_state& state, reason& why);
 
     /// Appends one batch and syncs it.
     bool append(const wire::storage_batch& batch, reason& why);
-    /// Writes a snapshot, then a log that holds only `hard` and what comes after the snapshot.
+    /// Replaces the snapshot, then the log by `rest`: the hard state and the entries after the
+    /// snapshot.
     bool save_snapshot(const wire::log_snapshot& snapshot, const wire::storage_batch& rest,
                        reason& why);
-    /// Bytes of the log file; the owner takes a snapshot when this has grown.
+    /// Size of the log file in bytes; the owner takes a snapshot when it is large.
     [[nodiscard]] std::uint64_t log_bytes() const { return log_bytes_; }
 
 private:
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -28,21 +28,21 @@
     refresh_members();
     arm_election(now);
     if (hard_.term() > 0) {
-        // Whoever led may have been upheld by a vote that this one forgot; after that nobody leads
-        // unless a heartbeat says so, and there is nothing more to wait for.
+        // Before its restart this voter may have answered a leader whose lease still runs. After an
+        // election timeout that lease has expired, unless a heartbeat came: an election may start.
         no_vote_until_ = now + options_.election_timeout;
         election_at_ = no_vote_until_ + short_delay();
     }
     if (options_.start == start_mode::first && hard_.term() == 0 && last_index() == 0) {
         hard_.set_whole(true);
         save_hard_state();
-        // Nobody leads yet: there is nothing to wait for but the others' start.
+        // There can be no leader yet: wait only for the other voters to start.
         std::uniform_int_distribution<std::int64_t> spread(0, options_.election_timeout.count());
         election_at_ = now + options_.heartbeat + duration{spread(random_) / first_start_parts};
     }
     const bool alone = members_.members_size() == 1 && is_voter(self_);
     if (alone) {
-        election_at_ = now; // nobody else could be leading
+        election_at_ = now; // no other member can lead
         no_vote_until_ = now;
     }
 }
@@ -225,7 +225,7 @@
 {
     if (role_ == role::leader) {
         if (!is_upheld(now)) {
-            become_follower(now, hard_.term(), {}); // a quorum is out of reach
+            become_follower(now, hard_.term(), {}); // no quorum answers
             return;
         }
         if (now >= heartbeat_at_) {
@@ -291,7 +291,7 @@
     if (!may_vote(now) || !is_up_to_date(in)) {
         return false;
     }
-    // Without memory it may only help to begin a log that nobody remembers.
+    // A voter without stored state may only vote to begin a log that no voter has stored.
     return hard_.whole() ||
            (options_.start != start_mode::later && in.last_index() == 0 && last_index() == 0);
 }
@@ -311,7 +311,7 @@
     if (!hard_.whole() && in.commit() > 0 && commit_ >= in.commit()) {
         hard_.set_whole(true);
         save_hard_state();
-        no_vote_until_ = now + options_.election_timeout; // a vote that it forgot may be on its way
+        no_vote_until_ = now + options_.election_timeout; // a vote from before may be in flight
     }
 }
 
--- a/src/consensus/raft_node_elections.cpp
+++ b/src/consensus/raft_node_elections.cpp
@@ -1,4 +1,4 @@
-// Elections: pre-votes, votes, and who may give one.
+// Elections: pre-votes and votes.
 
 #include "consensus/raft_node_priv.h"
 
@@ -68,7 +68,7 @@
     entry.set_term(hard_.term());
     entry.set_index(last_index() + 1);
     if (last_index() == 0) {
-        *entry.mutable_members() = members_; // a restart knows them from the log alone
+        *entry.mutable_members() = members_; // after a restart the log alone has to name them
     }
     term_start_ = entry.index();
     append_entry(std::move(entry));
@@ -103,7 +103,7 @@
 void raft_node::on_vote(instant now, const member_id& from, const msg& in)
 {
     if (!may_vote(now)) {
-        return; // it follows a leader, or is bound by a lease that it upheld before a restart
+        return; // it follows a leader, or a lease from before its restart may still run
     }
     if (in.term() > hard_.term()) {
         become_follower(now, in.term(), {});
--- a/src/consensus/raft_node_replication.cpp
+++ b/src/consensus/raft_node_replication.cpp
@@ -122,7 +122,7 @@
     auto prev = in.prev_index();
     int skip = 0;
     if (prev < commit_) {
-        // What is committed matches; a late message may begin before it.
+        // Committed entries match; a late append may begin before them.
         skip = static_cast<int>(std::min<std::uint64_t>(commit_ - prev, in.entries().size()));
         prev += static_cast<std::uint64_t>(skip);
     }
@@ -151,7 +151,7 @@
 void raft_node::note_grant(instant now, const msg& in)
 {
     const auto stamp = from_stamp(in.follower_stamp());
-    const bool own = stamp >= started_ && stamp <= now; // not one of an earlier process
+    const bool own = stamp >= started_ && stamp <= now; // not of an earlier process
     if (in.follower_stamp() != 0 && own && (!granted_ || stamp > *granted_)) {
         granted_ = stamp;
         granted_commit_ = in.commit();
@@ -168,7 +168,8 @@
     leader_heard_ = now;
     const auto& taken = in.snapshot();
     if (term_at(taken.index()) == taken.term()) {
-        // The log goes at least as far; dropping its tail could undo what this member vouched for.
+        // The log reaches at least as far; dropping its tail could lose entries that this member
+        // acknowledged.
         advance_commit(std::max(commit_, taken.index()));
     }
     else if (taken.index() > commit_) {
@@ -199,12 +200,12 @@
     it.acked = it.acked ? std::max(*it.acked, sent) : sent;
     it.follower_stamp = in.follower_stamp();
     if (!in.ok()) {
-        // Only the answer to the latest question moves it: late and doubled answers each asking
-        // again would multiply.
+        // Only the refusal of the latest append moves `next`: if late and doubled refusals each
+        // caused another append, messages would multiply.
         const bool stale = it.probing ? in.prev_index() + 1 != it.next : in.prev_index() >= it.next;
         if (!stale) {
             it.probing = true;
-            it.match = std::min(it.match, in.match()); // it may have lost its log
+            it.match = std::min(it.match, in.match()); // the follower may have lost its log
             it.next = std::max(it.match, std::min(in.match(), in.prev_index() - 1)) + 1;
             send_append(now, from);
         }
@@ -232,11 +233,11 @@
         return;
     }
     const auto to = matched[quorum() - 1];
-    // Only an entry of its own term proves that no other leader can undo it.
+    // Only the commit of an entry of its own term guarantees that no later leader overwrites it.
     if (to > commit_ && term_at(to) == hard_.term()) {
         advance_commit(to);
         if (members_index_ <= commit_ && !is_voter(self_)) {
-            role_ = role::follower; // it has led its own removal to the end
+            role_ = role::follower; // its own removal is committed
             leader_ = {};
         }
     }
@@ -253,7 +254,7 @@
 
 std::optional<std::uint64_t> raft_node::propose(instant now, std::string command)
 {
-    // One that stood still may be a leader of the past: what it sent would be an old term's.
+    // After a pause this may be a deposed leader, whose entries would be of an old term.
     if (!is_upheld(now)) {
         return {};
     }
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -77,7 +77,7 @@
 void replicated_log::carry_out()
 {
     if (busy_ || failure_) {
-        return; // an answer handler called back in; the outer call goes on
+        return; // reentered from an answer handler; the outer call continues
     }
     busy_ = true;
     for (auto out = raft_.take_output();
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -1,4 +1,4 @@
-// A daemon's part in control: its logs, its turn as leader.
+// A daemon's replicas of the logs, and its work while it leads its domain.
 
 #include "control/control_plane_priv.h"
 
@@ -207,7 +207,7 @@
 void control_plane::propose_group(instant now, const group_proposal& it)
 {
     if (!proposed_.insert(it.record.id).second) {
-        return; // the earlier proposal is still under way
+        return; // an earlier proposal is not committed yet
     }
     wire::command command;
     auto* change = command.mutable_group();
@@ -241,7 +241,7 @@
     if (root_ != nullptr) {
         take_configuration(now, root_->state.accepted());
     }
-    // Also with a part in the root's log: it may be the one that is cut off from the others.
+    // Root voters pull too: this replica may be partitioned from the root's quorum.
     const auto all = daemons_of(root_log_id);
     if (!all.empty()) {
         wire::envelope out;
@@ -279,7 +279,8 @@
     own_reports_.clear();
     for (const auto& it : options_.own.peers) {
         if (it.failure_domain == options_.own.failure_domain) {
-            send(it.id, out); // also when empty: it says that this daemon is there to watch
+            // Also when empty: it is the heartbeat that makes this daemon a watcher.
+            send(it.id, out);
         }
     }
 }
--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -1,4 +1,4 @@
-// What operators and the request path ask.
+// Commands from operators and from the request path.
 
 #include "control/control_plane_priv.h"
 
@@ -24,7 +24,8 @@
 
 void control_plane::submit_drain(instant now, wire::drain_change change, answer_handler done)
 {
-    // The mark belongs to the domain that the thing lies in; unknown things are marked here.
+    // The mark goes to the log of the domain that holds the node, group or runner; an unknown id is
+    // marked in this daemon's domain.
     const auto& config = *domain_->state.config();
     failure_domain_id owner = options_.own.failure_domain;
     const auto* node = config.find_node(node_id{change.id()});
--- a/src/control/control_plane_messages.cpp
+++ b/src/control/control_plane_messages.cpp
@@ -1,4 +1,4 @@
-// What other daemons ask and tell.
+// Messages from other daemons.
 
 #include "control/control_plane_priv.h"
 
--- a/src/control/control_plane_priv.h
+++ b/src/control/control_plane_priv.h
@@ -57,7 +57,7 @@
                          it.leaving()};
 }
 
-/// The failure domain's state behind its log.
+/// The state machine of the failure domain's log.
 class control_plane::domain_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
@@ -74,7 +74,7 @@
     domain_state state;
 };
 
-/// The root's state behind its log.
+/// The state machine of the root's log.
 class control_plane::root_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -1,4 +1,4 @@
-// What this daemon knows now: targets, watched runners, figures.
+// Read-only views of the state: targets, watched runners, figures.
 
 #include "control/control_plane_priv.h"
 
--- a/src/control/remote_domains.cpp
+++ b/src/control/remote_domains.cpp
@@ -25,7 +25,7 @@
     const instant stamp{duration{in.stamp()}};
     auto& it = all_[failure_domain_id{in.domain()}];
     if (stamp > now || (it.granted && stamp <= *it.granted)) {
-        return true; // an answer to an older question has nothing to add
+        return true; // the answer to an older pull
     }
     if (in.unchanged()) {
         if (in.version() != it.version) {
--- a/src/groups/group_controller.cpp
+++ b/src/groups/group_controller.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// True if the runner reports the wanted phase under this very assignment.
+/// True if the runner's last report has this phase and this epoch.
 bool reports(const runner_watch& watch, const runner_id& runner, epoch assignment,
              runner_phase phase)
 {
@@ -90,7 +90,7 @@
         {group_state::stopped, &group_controller::look_at_ended},
         {group_state::lost, &group_controller::look_at_ended},
     };
-    (void)since(in.now, it); // notes when the group came into its state
+    (void)since(in.now, it); // starts the timer of a new state
     for (const auto& [state, function] : table) {
         if (state == it.state) {
             (this->*function)(in, it, out);
@@ -191,8 +191,8 @@
         out.proposals.push_back(move_to(it, group_state::lost, std::move(why)));
         return;
     }
-    // A daemon may use the group until its grant ends. A report that set out after that, with a
-    // second's lag allowed for, shows all requests there are.
+    // A daemon may send to the group until its grant expires. A report sent after that counts every
+    // request; `report_lag` allows for the time that a report takes.
     const auto entered = since(in.now, it);
     const auto spent = in.now - entered;
     const auto settled = entered + options_.grant_ttl + options_.drift + options_.report_lag;
@@ -217,8 +217,8 @@
             continue;
         }
         const bool idle = reports(in.watch, runner->id, it.assignment, runner_phase::idle);
-        // Whoever checks the epoch refuses what comes under an old grant. The others must be
-        // idle, or be given the time in which all old work has ended.
+        // A runner that checks epochs refuses requests under an old grant. Any other must be idle
+        // after the last grant expired, or wait until `in_flight_bound` has passed too.
         const bool safe = runner->checks_epoch || (idle && spent >= old_grants) ||
                           spent >= old_grants + options_.in_flight_bound;
         if (!safe) {
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -17,7 +17,7 @@
 /// Bytes for each read(2). Not measured.
 constexpr std::size_t read_block = 65536;
 
-/// Closes itself.
+/// A file descriptor, closed by its destructor.
 class descriptor {
 public:
     descriptor(const std::string& path, int flags)
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -4,7 +4,7 @@
 
 namespace cedarpoint {
 
-/// Real files. Data is on the disk when an operation returns.
+/// Files of the operating system, synced before an operation returns.
 class posix_file_system final : public file_system {
 public:
     std::optional<std::string> read(const std::string& path, reason& why) override;
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -168,7 +168,7 @@
     for (const auto& it : due) {
         auto& to = at(it.to);
         if (to.paused) {
-            to.held.push_back(it.what); // it will read old messages when it comes back
+            to.held.push_back(it.what); // delivered when it resumes
         }
         else if (to.plane != nullptr) {
             to.plane->receive(now_, it.what);
@@ -429,7 +429,7 @@
     for (const auto& [host_name, it] : hosts_) {
         const auto& name = host_name; // a binding can't be captured
         if (it->plane == nullptr) {
-            continue; // a paused one counts: it must know by its clock that its lease is over
+            continue; // a paused one counts: its lease has to expire by its clock
         }
         const auto check_one = [&](const std::string& log, const replicated_log& replica) {
             if (!replica.raft().holds_lease(now_)) {
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -14,23 +14,24 @@
 
 namespace cedarpoint::testing_support {
 
-/// What the world is made of. Zones are a, b, c...; daemons a1, a2...; nodes an0, an1...
+/// The size and faults of a world. Zones are a, b, c...; daemons a1, a2...; nodes an0, an1...
 struct world_options {
     int zones = 3;
     int daemons = 3;       ///< in each zone
     int disks = 3;         ///< of the daemons in each zone; these are the voters
-    bool diskless = false; ///< the voters keep nothing
+    bool diskless = false; ///< the voters store nothing
     int nodes = 9;         ///< in each zone
     int groups = 2;        ///< of four nodes, in each zone
     bool checks_epoch = true;
     std::uint64_t seed = 1;
-    int loss_percent = 0;
-    int double_percent = 0;
-    int longest_delay_ms = 5;
+    int loss_percent = 0;     ///< of messages
+    int double_percent = 0;   ///< of messages
+    int longest_delay_ms = 5; ///< of a message; each takes 1 ms up to this
 };
 
-/// A few control planes with faked time, messages, disks and engines. Everything follows from the
-/// seed. After each step the invariants are checked; `broken` keeps the first that did not hold.
+/// A simulation of a few control planes with faked time, messages, disks and engines; deterministic
+/// by its seed. After each step the invariants are checked; `broken` keeps the first violation.
+/// Owns: the planes, their disks, the engines and the messages in flight.
 class world {
 public:
     explicit world(world_options options);
@@ -39,7 +40,7 @@
     world& operator=(const world&) = delete;
 
     void run(milliseconds time);
-    /// Runs until `done` or for `limit`. The time that it took, or empty.
+    /// Runs until `done` or for `limit`. The time that it took; empty if `limit` passed first.
     std::optional<milliseconds> run_until(const std::function<bool()>& done, milliseconds limit);
 
     void kill(const std::string& daemon);
--- a/tools/stand_in/stand_in_runner.h
+++ b/tools/stand_in/stand_in_runner.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// Where a stand-in breaks the connection of the next requests.
+/// The stage of a request at which a stand-in fails it.
 enum class fault_stage {
     none,
     after_request,
@@ -23,8 +23,10 @@
     stall
 };
 
-/// A small model engine on one address: takes fenced orders, reports its state, streams answers
-/// token by token, resumes and cancels, and fails when told to. It counts what reaches it.
+/// A small model engine on one address, for the demo, the tests and the benches: takes fenced
+/// orders, reports its state, streams answers token by token, resumes and cancels, injects faults.
+/// Owns: its listener, its streams and counts of what reached it. Relies on: a running Qt event
+/// loop.
 class stand_in_runner {
 public:
     struct options {
