--- a/include/cedarpoint/groups/group_controller.h
+++ b/include/cedarpoint/groups/group_controller.h
@@ -14,7 +14,7 @@
 
 namespace cedarpoint {
 
-/// What a runner is told to do. Orders of an older epoch are refused by runners that check it.
+/// An order to a runner. Runners that check epochs refuse one of an older epoch.
 struct runner_order {
     runner_id runner;
     endpoint address;
@@ -22,28 +22,29 @@
     bool load = true; ///< false: stop and become idle
     group_id group;
     int rank = 0; ///< place in the group; 0 takes the requests
-    int size = 0;
+    int size = 0; ///< nodes of the group
     model_id model;
     std::string version;
     std::vector<std::string> adapters;
     group_role role = group_role::converged;
 };
 
-/// A change that the controller wants committed.
+/// A change of the group table that the controller proposes to the domain's log.
 struct group_proposal {
     group_record record;                   ///< for an assignment: nodes and what to load
     group_state to = group_state::loading; ///< loading: a new assignment
-    epoch floor;                           ///< no new epoch at or below this
+    epoch floor;                           ///< a new assignment's epoch is above this
     std::string why;
 };
 
-/// What one look at the domain comes to.
+/// The output of one step of the controller.
 struct control_step {
     std::vector<group_proposal> proposals;
     std::vector<runner_order> orders;
 };
 
-/// Operators' marks: no group keeps or gets these nodes.
+/// Operators' drain marks: these groups, and groups with these nodes or runners, are drained and
+/// not formed again.
 struct drain_marks {
     std::set<node_id> nodes;
     std::set<group_id> groups;
@@ -51,29 +52,44 @@
     friend bool operator==(const drain_marks&, const drain_marks&) = default;
 };
 
-/// Bounds on control, all from settings.
+/// Bounds on control. `domain` and `grant_ttl` come from settings; the others have the values here.
 struct control_options {
     failure_domain_id domain;
-    duration order_interval = seconds{1};   ///< between two sendings of the same order
-    duration grant_ttl = seconds{3};        ///< daemons use a group at most this long unheard
-    duration drift = milliseconds{500};     ///< clocks may differ by this over a grant
-    duration report_lag = seconds{1};       ///< a report may be this old when it arrives
-    duration in_flight_bound = seconds{60}; ///< work on a runner that checks no epoch ends by then
-    duration drain_bound = seconds{600};    ///< a draining group is stopped after this
-    int loads_at_once = 2; ///< groups loading together, for the weight store's sake
+    /// Between two sendings of the same order to a runner. Not measured.
+    duration order_interval = seconds{1};
+    /// A daemon sends requests to a group for at most this long after its last grant
+    /// (`settings::grant_ttl`). Not measured.
+    duration grant_ttl = seconds{3};
+    /// Two daemons' clocks run apart by at most this over one grant. Assumed, not measured.
+    duration drift = milliseconds{500};
+    /// A report is at most this old when it arrives. Assumed, not measured; a drain waits for it
+    /// (6deb75e: a drained node's group is away for 5.6 s, with this and the grant's lifetime).
+    duration report_lag = seconds{1};
+    /// A runner that checks no epoch has ended all old work this long after the last grant
+    /// (docs/DESIGN.md, Groups). Assumed, not measured.
+    duration in_flight_bound = seconds{60};
+    /// A draining group is stopped after this, with requests in flight or without. Not measured.
+    duration drain_bound = seconds{600};
+    /// Groups that load at the same time, to spare the weight store. Not measured.
+    int loads_at_once = 2;
 };
 
-/// Runs the groups of one failure domain, on the one daemon that leads it. It proposes; the
-/// replicated group table decides. It acts (orders) only on what is committed.
+/// Forms, drains and repairs the groups of one failure domain, on the daemon that holds the
+/// domain's lease. It proposes; the replicated group table accepts or refuses. Orders follow
+/// committed records only.
+/// Owns: timers since a group's last state change and since a runner's last order; both are lost
+/// with the lease. Relies on: the group table, the runners' reports, and its caller to hold the
+/// lease.
 class group_controller {
 public:
     group_controller(control_options options, std::unique_ptr<placement_strategy> placement);
 
-    /// Looks at everything once. Call often; it repeats itself until the state follows.
+    /// One pass over all groups and nodes. Level-triggered: it repeats proposals and orders until
+    /// the committed state and the reports show them.
     [[nodiscard]] control_step step(instant now, const configuration& config,
                                     const group_table& groups, const runner_watch& watch,
                                     const drain_marks& drains);
-    /// Forgets timers: another daemon led in between.
+    /// Clears the timers; for the start of a new lease.
     void reset();
 
 private:
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -1,4 +1,4 @@
-// A daemon's part in control: its logs, its turn as leader.
+// A daemon's replicas of the logs, and its work while it leads its domain.
 
 #include "control/control_plane_priv.h"
 
@@ -9,8 +9,18 @@
 namespace cedarpoint {
 namespace {
 
+/// Between two steps of the group controller. Not measured against other values; docs/CAPACITY.md
+/// (item 6) names what ten steps a second cost.
 constexpr duration look_interval = milliseconds{100};
+/// Between two pulls of the root's configuration and of the other domains' views. Not measured
+/// against other values; with it a file is in force everywhere after 0.62 s at worst
+/// (docs/MEASUREMENTS.md, target 18 s).
 constexpr duration pull_interval = milliseconds{500};
+/// A runner is absent after this many watch intervals without a report. Not measured against other
+/// values; a node's loss shows after 3 s at the default interval (docs/MEASUREMENTS.md).
+constexpr int absent_after_looks = 3;
+/// Reports go to the domain's other daemons this many times in a watch interval. Not measured.
+constexpr int shares_per_watch_interval = 2;
 
 std::string join_nodes(const std::vector<node_id>& nodes)
 {
@@ -34,7 +44,7 @@
                [this](const daemon_id& to, wire::envelope it) { send(to, std::move(it)); }},
               options_.seed},
       controller_{options_.control, make_best_fit_placement()},
-      watch_{3 * duration{options_.own.watch_interval}}
+      watch_{absent_after_looks * duration{options_.own.watch_interval}}
 {
 }
 
@@ -197,7 +207,7 @@
 void control_plane::propose_group(instant now, const group_proposal& it)
 {
     if (!proposed_.insert(it.record.id).second) {
-        return; // the earlier proposal is still under way
+        return; // an earlier proposal is not committed yet
     }
     wire::command command;
     auto* change = command.mutable_group();
@@ -231,7 +241,7 @@
     if (root_ != nullptr) {
         take_configuration(now, root_->state.accepted());
     }
-    // Also with a part in the root's log: it may be the one that is cut off from the others.
+    // Root voters pull too: this replica may be partitioned from the root's quorum.
     const auto all = daemons_of(root_log_id);
     if (!all.empty()) {
         wire::envelope out;
@@ -260,7 +270,7 @@
     if (now < next_share_) {
         return;
     }
-    next_share_ = now + options_.own.watch_interval / 2;
+    next_share_ = now + options_.own.watch_interval / shares_per_watch_interval;
     wire::envelope out;
     auto* reports = out.mutable_reports();
     for (const auto& [id, it] : own_reports_) {
@@ -269,7 +279,8 @@
     own_reports_.clear();
     for (const auto& it : options_.own.peers) {
         if (it.failure_domain == options_.own.failure_domain) {
-            send(it.id, out); // also when empty: it says that this daemon is there to watch
+            // Also when empty: it is the heartbeat that makes this daemon a watcher.
+            send(it.id, out);
         }
     }
 }
--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -1,12 +1,15 @@
-// What operators and the request path ask.
+// Commands from operators and from the request path.
 
 #include "control/control_plane_priv.h"
 
 namespace cedarpoint {
 namespace {
 
+/// An operator's call is retried for this long. Not measured.
 constexpr duration operator_limit = seconds{10};
+/// A claim is retried for this long; then nothing runs (docs/DESIGN.md, Claims). Not measured.
 constexpr duration claim_limit = seconds{3};
+/// The end of a claim is retried for this long. Not measured.
 constexpr duration finish_limit = seconds{60};
 
 } // namespace
@@ -21,7 +24,8 @@
 
 void control_plane::submit_drain(instant now, wire::drain_change change, answer_handler done)
 {
-    // The mark belongs to the domain that the thing lies in; unknown things are marked here.
+    // The mark goes to the log of the domain that holds the node, group or runner; an unknown id is
+    // marked in this daemon's domain.
     const auto& config = *domain_->state.config();
     failure_domain_id owner = options_.own.failure_domain;
     const auto* node = config.find_node(node_id{change.id()});
--- a/src/control/control_plane_priv.h
+++ b/src/control/control_plane_priv.h
@@ -7,6 +7,7 @@
 namespace cedarpoint {
 
 inline constexpr const char* root_log_id = "root";
+/// Of wire::envelope; messages of any other version are dropped.
 inline constexpr std::uint32_t protocol_version = 1;
 
 inline wire::command_answer to_wire(const domain_answer& it)
@@ -56,7 +57,7 @@
                          it.leaving()};
 }
 
-/// The failure domain's state behind its log.
+/// The state machine of the failure domain's log.
 class control_plane::domain_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
@@ -73,7 +74,7 @@
     domain_state state;
 };
 
-/// The root's state behind its log.
+/// The state machine of the root's log.
 class control_plane::root_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -1,4 +1,4 @@
-// What this daemon knows now: targets, watched runners, figures.
+// Read-only views of the state: targets, watched runners, figures.
 
 #include "control/control_plane_priv.h"
 
@@ -9,7 +9,10 @@
 namespace cedarpoint {
 namespace {
 
-constexpr duration peer_silence = seconds{4}; ///< a daemon not heard for this long watches nothing
+/// A daemon from which no message came for this long counts as no watcher. Not measured.
+constexpr duration peer_silence = seconds{4};
+/// Daemons of the domain that look at each runner. Not measured against other values; the looks in
+/// docs/CAPACITY.md (10 a second for a daemon) are counted with two.
 constexpr std::size_t watchers_per_runner = 2;
 
 } // namespace
@@ -19,11 +22,6 @@
     return domain_->state;
 }
 
-const root_state* control_plane::root() const
-{
-    return root_ == nullptr ? nullptr : &root_->state;
-}
-
 std::optional<instant> control_plane::granted_at(instant now) const
 {
     return domain_log_->raft().granted_at(now);
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -9,28 +9,20 @@
 
 using json = nlohmann::json;
 
+// The scenarios' golden files hold the times that follow from these; none was measured.
 constexpr duration step_time = milliseconds{10};
-constexpr duration load_time = milliseconds{500};
-constexpr int group_size = 4;
+constexpr duration load_time = milliseconds{500}; ///< from the order to load to ready
+constexpr milliseconds watch_interval{200};       ///< the product's default is 1000 ms
+constexpr int group_size = 4;                     ///< nodes
+constexpr int ports_per_zone = 100;
+constexpr std::uint16_t first_daemon_port = 10'000; ///< in addresses only: nothing listens
+constexpr int first_runner_port = 20'000;           ///< the same
 
 std::string zone_name(int n)
 {
     return std::string(1, static_cast<char>('a' + n));
 }
 
-/// Adds the time of its life to a sum.
-class stopwatch {
-public:
-    explicit stopwatch(std::chrono::duration<double>& sum) : sum_{sum} {}
-    stopwatch(const stopwatch&) = delete;
-    stopwatch& operator=(const stopwatch&) = delete;
-    ~stopwatch() { sum_ += std::chrono::steady_clock::now() - from_; }
-
-private:
-    std::chrono::duration<double>& sum_;
-    std::chrono::steady_clock::time_point from_ = std::chrono::steady_clock::now();
-};
-
 std::string zone_of(const std::string& name)
 {
     return name.substr(0, 1);
@@ -45,7 +37,8 @@
         for (int n = 1; n <= options_.daemons; ++n) {
             peer_spec it;
             it.id = daemon_id{zone_name(z) + std::to_string(n)};
-            it.address = {"127.0.0.1", static_cast<std::uint16_t>(10'000 + z * 100 + n)};
+            it.address = {"127.0.0.1",
+                          static_cast<std::uint16_t>(first_daemon_port + z * ports_per_zone + n)};
             it.failure_domain = failure_domain_id{zone_name(z)};
             it.root_voter = n == 1;
             it.domain_voter = n <= options_.disks;
@@ -54,6 +47,7 @@
         for (int n = 0; n < options_.nodes; ++n) {
             const auto name = zone_name(z) + "n" + std::to_string(n);
             engines_[name] = {name, zone_name(z), true, options_.checks_epoch, {}, {}};
+            invariants_.expect_node(node_id{name});
         }
     }
     for (const auto& peer : peers) {
@@ -62,7 +56,7 @@
         it->own.failure_domain = peer.failure_domain;
         it->own.daemons = peer.address;
         it->own.peers = peers;
-        it->own.watch_interval = milliseconds{options_.watch_ms};
+        it->own.watch_interval = watch_interval;
         it->has_disk = peer.domain_voter && !options_.diskless;
         it->own.data_folder = "data";
         hosts_[peer.id.str()] = std::move(it);
@@ -93,6 +87,7 @@
     };
     control_plane::options options;
     options.own = it.own;
+    // Distinct for each world, daemon and start; the golden files hold what follows from it.
     options.seed =
         options_.seed * 1000 + std::hash<std::string>{}(daemon) % 997 + (++it.starts) * 1'000'003;
     reason why;
@@ -104,16 +99,6 @@
     }
 }
 
-void world::start_counting()
-{
-    messages = 0;
-    message_bytes = 0;
-    for (auto& [name, it] : hosts_) {
-        it->spent = {};
-        it->sent_bytes = 0;
-    }
-}
-
 void world::kill(const std::string& daemon)
 {
     at(daemon).plane.reset();
@@ -160,9 +145,6 @@
 
 void world::post(const std::string& from, const std::string& to, const wire::envelope& what)
 {
-    ++messages;
-    message_bytes += what.ByteSizeLong();
-    at(from).sent_bytes += what.ByteSizeLong();
     std::uniform_int_distribution<int> percent(0, 99);
     std::uniform_int_distribution<int> delay(1, options_.longest_delay_ms);
     if (is_cut(from, to) || percent(random_) < options_.loss_percent) {
@@ -186,21 +168,20 @@
     for (const auto& it : due) {
         auto& to = at(it.to);
         if (to.paused) {
-            to.held.push_back(it.what); // it will read old messages when it comes back
+            to.held.push_back(it.what); // delivered when it resumes
         }
         else if (to.plane != nullptr) {
-            const stopwatch running{to.spent};
             to.plane->receive(now_, it.what);
         }
     }
 }
 
-void world::look(const std::string& /*name*/, host& it)
+void world::look(host& it)
 {
     if (now_ < it.next_look) {
         return;
     }
-    it.next_look = now_ + milliseconds{options_.watch_ms};
+    it.next_look = now_ + watch_interval;
     for (const auto& runner : it.plane->watched(now_)) {
         const auto& engine = engines_.at(runner.node.str());
         if (engine.alive) {
@@ -236,21 +217,16 @@
         if (it->plane == nullptr || it->paused) {
             continue;
         }
-        {
-            const stopwatch running{it->spent};
-            for (const auto& what : std::exchange(it->held, {})) {
-                it->plane->receive(now_, what);
-            }
-            look(name, *it);
-            it->plane->tick(now_);
+        for (const auto& what : std::exchange(it->held, {})) {
+            it->plane->receive(now_, what);
         }
+        look(*it);
+        it->plane->tick(now_);
         if (it->plane->failure()) {
             kill(name); // as the process ends itself
         }
     }
-    if (checking_) {
-        check();
-    }
+    check();
 }
 
 void world::run(milliseconds time)
@@ -293,7 +269,7 @@
                                           {"key_sha256", std::string(64, zone.front())},
                                           {"home_failure_domain", zone}});
     }
-    int port = 20'000;
+    int port = first_runner_port;
     for (const auto& [name, it] : engines_) {
         out["nodes"].push_back(
             {{"id", name}, {"fabric_domain", "f-" + it.zone}, {"accelerators", 8}});
@@ -312,6 +288,11 @@
     it.set_based_on(based_on);
     it.set_change_id(change);
     it.set_text(file(based_on, change, extra));
+    for (int z = 0; z < options_.zones; ++z) {
+        for (int n = 0; n < options_.groups + extra; ++n) {
+            invariants_.expect_group(group_of(pool_id{zone_name(z)}, n));
+        }
+    }
     plane(daemon).submit_configuration(
         now_, std::move(it), [this, change](const std::optional<wire::command_answer>& answer) {
             if (!answer) {
@@ -426,8 +407,8 @@
 
 void world::check()
 {
-    constexpr std::size_t storm =
-        2000; ///< messages under way; calm worlds of nine have some dozens
+    // Messages under way; calm worlds of nine daemons have some dozens.
+    constexpr std::size_t storm = 2000;
     if (flying_.size() > storm) {
         note("a storm of messages");
     }
@@ -448,7 +429,7 @@
     for (const auto& [host_name, it] : hosts_) {
         const auto& name = host_name; // a binding can't be captured
         if (it->plane == nullptr) {
-            continue; // a paused one counts: it must know by its clock that its lease is over
+            continue; // a paused one counts: its lease has to expire by its clock
         }
         const auto check_one = [&](const std::string& log, const replicated_log& replica) {
             if (!replica.raft().holds_lease(now_)) {
@@ -472,8 +453,8 @@
         if (it->plane == nullptr) {
             continue;
         }
-        if (!it->plane->domain().groups().is_consistent()) {
-            note(name + " has a node in two groups");
+        if (const auto wrong = invariants_.check(it->plane->domain().groups()); !wrong.empty()) {
+            note(fmt::format("{}: {}", name, wrong));
         }
         for (const auto& place : it->plane->targets(now_, [](const runner_id&) { return 0; })) {
             if (!place.group || place.draining || now_ >= place.valid_until) {
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include "cedarpoint/control/control_plane.h"
+#include "support/group_invariants.h"
 #include "support/memory_files.h"
 
 #include <map>
@@ -13,24 +14,24 @@
 
 namespace cedarpoint::testing_support {
 
-/// What the world is made of. Zones are a, b, c...; daemons a1, a2...; nodes an0, an1...
+/// The size and faults of a world. Zones are a, b, c...; daemons a1, a2...; nodes an0, an1...
 struct world_options {
     int zones = 3;
     int daemons = 3;       ///< in each zone
     int disks = 3;         ///< of the daemons in each zone; these are the voters
-    bool diskless = false; ///< the voters keep nothing
+    bool diskless = false; ///< the voters store nothing
     int nodes = 9;         ///< in each zone
     int groups = 2;        ///< of four nodes, in each zone
     bool checks_epoch = true;
     std::uint64_t seed = 1;
-    int loss_percent = 0;
-    int double_percent = 0;
-    int longest_delay_ms = 5;
-    int watch_ms = 200; ///< between two looks at a runner; the product's default is 1000
+    int loss_percent = 0;     ///< of messages
+    int double_percent = 0;   ///< of messages
+    int longest_delay_ms = 5; ///< of a message; each takes 1 ms up to this
 };
 
-/// A few control planes with faked time, messages, disks and engines. Everything follows from the
-/// seed. After each step the invariants are checked; `broken` keeps the first that did not hold.
+/// A simulation of a few control planes with faked time, messages, disks and engines; deterministic
+/// by its seed. After each step the invariants are checked; `broken` keeps the first violation.
+/// Owns: the planes, their disks, the engines and the messages in flight.
 class world {
 public:
     explicit world(world_options options);
@@ -39,7 +40,7 @@
     world& operator=(const world&) = delete;
 
     void run(milliseconds time);
-    /// Runs until `done` or for `limit`. The time that it took, or empty.
+    /// Runs until `done` or for `limit`. The time that it took; empty if `limit` passed first.
     std::optional<milliseconds> run_until(const std::function<bool()>& done, milliseconds limit);
 
     void kill(const std::string& daemon);
@@ -75,24 +76,11 @@
     [[nodiscard]] bool in_force_everywhere(std::uint64_t revision) const;
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::uint64_t steps() const { return steps_; }
-    /// For benches: the invariants' cost would be counted as the planes'.
-    void stop_checking() { checking_ = false; }
-    void start_counting();
-    [[nodiscard]] double spent_seconds(const std::string& daemon) const
-    {
-        return hosts_.at(daemon)->spent.count();
-    }
-    [[nodiscard]] std::uint64_t sent_bytes(const std::string& daemon) const
-    {
-        return hosts_.at(daemon)->sent_bytes;
-    }
     [[nodiscard]] const std::string& broken() const { return broken_; }
 
     std::vector<std::string> answers; ///< of operators and claims, in the order they came
     std::vector<std::string> events;  ///< of groups
     std::map<std::string, std::set<std::string>> granted; ///< holders by key
-    std::uint64_t messages = 0;
-    std::uint64_t message_bytes = 0;
 
 private:
     struct host {
@@ -103,8 +91,6 @@
         bool has_disk = true;
         instant next_look;
         std::uint64_t starts = 0;
-        std::chrono::duration<double> spent{0}; ///< real time inside the plane
-        std::uint64_t sent_bytes = 0;
         std::uint64_t newest_revision = 0;
         std::vector<wire::envelope> held; ///< came while it was paused
     };
@@ -126,7 +112,7 @@
     host& at(const std::string& daemon) { return *hosts_.at(daemon); }
     void step();
     void deliver();
-    void look(const std::string& name, host& it);
+    void look(host& it);
     void take_order(const runner_order& order);
     void post(const std::string& from, const std::string& to, const wire::envelope& what);
     [[nodiscard]] bool is_cut(const std::string& from, const std::string& to) const;
@@ -145,8 +131,8 @@
     std::set<std::pair<std::string, std::string>> cuts_;
     std::map<std::uint64_t, std::string> texts_; ///< by revision, as first seen
     std::uint64_t steps_ = 0;
+    group_invariants invariants_;
     std::string broken_;
-    bool checking_ = true;
 };
 
 } // namespace cedarpoint::testing_support
--- a/tools/stand_in/stand_in_runner.h
+++ b/tools/stand_in/stand_in_runner.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// Where a stand-in breaks the connection of the next requests.
+/// The stage of a request at which a stand-in fails it.
 enum class fault_stage {
     none,
     after_request,
@@ -23,15 +23,17 @@
     stall
 };
 
-/// A small model engine on one address: takes fenced orders, reports its state, streams answers
-/// token by token, resumes and cancels, and fails when told to. It counts what reaches it.
+/// A small model engine on one address, for the demo, the tests and the benches: takes fenced
+/// orders, reports its state, streams answers token by token, resumes and cancels, injects faults.
+/// Owns: its listener, its streams and counts of what reached it. Relies on: a running Qt event
+/// loop.
 class stand_in_runner {
 public:
     struct options {
-        int tokens = 8;
-        int token_ms = 5;
-        int load_ms = 20;
-        bool checks_epoch = true;
+        int tokens = 8;           ///< in an answer, unless the request says
+        int token_ms = 5;         ///< between two tokens
+        int load_ms = 20;         ///< from the order to load to ready
+        bool checks_epoch = true; ///< refuses orders of an older epoch, requests of another
     };
 
     explicit stand_in_runner(options options);
