--- a/include/cedarpoint/fleet/planned_group.h
+++ b/include/cedarpoint/fleet/planned_group.h
@@ -4,6 +4,7 @@
 #include "cedarpoint/core/time.h"
 #include "cedarpoint/core/units.h"
 
+#include <array>
 #include <cstddef>
 #include <map>
 #include <optional>
@@ -22,7 +23,11 @@
     waiting    ///< the head can't be reached: its members are not free before it must have stopped
 };
 
-/// The name of a phase in the log.
+inline constexpr std::array<plan_phase, 6> plan_phases{plan_phase::joining,   plan_phase::opening,
+                                                       plan_phase::serving,   plan_phase::retiring,
+                                                       plan_phase::releasing, plan_phase::waiting};
+
+/// The name of a phase in the log and in metrics.
 std::string_view name_of(plan_phase phase);
 
 /// One group in the leader's plan.
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -4,7 +4,9 @@
 #include "io/log_line.h"
 #include "io/simple_listeners.h"
 
+#include <map>
 #include <random>
+#include <string>
 #include <utility>
 
 namespace cedarpoint {
@@ -14,7 +16,7 @@
 constexpr int tick_ms = 20;
 /// Time between two refreshes of the view while nothing pushes it sooner. Not measured.
 constexpr duration refresh_interval = milliseconds{40};
-/// Time between two lines that sum up the plan.
+/// Time between two lines that sum up the plan, and two updates of the metrics on it.
 constexpr duration summary_interval = seconds{1};
 /// A leader is elected 0.5 to 1 s after the old one fell silent: the round "elections within 0.5 to
 /// 1 s" (Potting Shed 0.855 -> 0.869), after a day without a leader for 2.2 s (inc-a6e6).
@@ -258,6 +260,10 @@
     else {
         orders_->cancel_all();
     }
+    if (now >= next_summary_) {
+        next_summary_ = now + summary_interval;
+        summarize(now);
+    }
     mesh_.drain();
 }
 
@@ -302,10 +308,6 @@
     if (now >= next_refresh_) {
         push_view(now);
     }
-    if (now >= next_summary_) {
-        next_summary_ = now + summary_interval;
-        log_plan(now);
-    }
 }
 
 void control_daemon::carry_out(instant now, const planner_step& step)
@@ -340,9 +342,25 @@
     }
 }
 
-void control_daemon::log_plan(instant now)
+void control_daemon::summarize(instant now)
 {
-    log_line("plan").with("term", led_term_).with("state", leader_.planner().summary(now)).write();
+    const bool leading = leads(now);
+    std::map<plan_phase, double> groups;
+    for (const auto phase : plan_phases) {
+        groups[phase] = 0; // also once this daemon leads no more
+    }
+    if (leading) {
+        for (const auto& [name, group] : leader_.planner().groups()) {
+            ++groups[group.phase];
+        }
+        log_line("plan")
+            .with("term", led_term_)
+            .with("state", leader_.planner().summary(now))
+            .write();
+    }
+    for (const auto& [phase, count] : groups) {
+        metrics_.set_groups(std::string{name_of(phase)}, count);
+    }
 }
 
 // --- messages of other daemons, answers of runners ----------------------------------------------
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -54,7 +54,8 @@
     void carry_out(instant now, const planner_step& step);
     void drop_lost_followers(instant now);
     void push_view(instant now);
-    void log_plan(instant now);
+    /// Logs what there is and what is wanted, and sets the metrics on it.
+    void summarize(instant now);
 
     void receive(const wire::envelope& in);
     void on_follow(instant now, const wire::envelope& in);
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -187,6 +187,15 @@
     EXPECT_LT(steady_now() - asked, milliseconds{300});
 }
 
+TEST_F(a_fleet, counts_its_planned_groups_by_phase_on_the_leader)
+{
+    ASSERT_TRUE(serves());
+    EXPECT_TRUE(wait_until([&] {
+        return site.control_metrics().find("cedarpoint_planned_groups{phase=\"serving\"} 1") !=
+               std::string::npos;
+    }));
+}
+
 TEST_F(a_fleet, stops_as_planned_without_cutting_a_request)
 {
     ASSERT_TRUE(serves());
--- a/tests/fleet/fleet_site.cpp
+++ b/tests/fleet/fleet_site.cpp
@@ -238,6 +238,7 @@
         own.failure_domain = failure_domain_id{"z"};
         own.address = {at.ip, mesh_port};
         own.control = at;
+        own.metrics = endpoint{at.ip, free_port()};
         own.data_folder = folder_.path().toStdString() + "/" + at.ip;
         own.seeds = controls_;
         own.heartbeat = milliseconds{heartbeat_ms};
@@ -316,6 +317,15 @@
     return {};
 }
 
+std::string fleet_site::control_metrics()
+{
+    std::string out;
+    for (const auto& own : settings_) {
+        out += call(*own.metrics, "GET", "/metrics", "", "").body;
+    }
+    return out;
+}
+
 bool fleet_site::is_ready()
 {
     return call(ready(), "GET", "/cedarpoint/readyz", "", "").head.status == 200;
--- a/tests/fleet/fleet_site.h
+++ b/tests/fleet/fleet_site.h
@@ -88,6 +88,8 @@
     void stop_control(std::size_t which);
     void start_control(std::size_t which, bool first);
     [[nodiscard]] bool is_ready();
+    /// The metrics of all control daemons, one after the other.
+    [[nodiscard]] std::string control_metrics();
     entry_daemon& entry() { return *entry_; }
 
 private:
