--- a/src/admission/account_limits.cpp
+++ b/src/admission/account_limits.cpp
@@ -1,5 +1,7 @@
 #include "cedarpoint/admission/account_limits.h"
 
+#include "cedarpoint/request/refusals.h"
+
 #include <algorithm>
 #include <cmath>
 
@@ -8,7 +10,6 @@
 
 constexpr double us_per_minute = 60e6;
 constexpr double burst_minutes = 1.0 / 6; ///< ten seconds' worth may start at once
-constexpr milliseconds in_flight_retry{1000};
 
 int share_of(int limit, double share)
 {
@@ -35,8 +36,7 @@
 {
     auto& it = usage_[account.id];
     if (it.in_flight >= share_of(account.max_in_flight, share)) {
-        return refusal{error_code::too_many_in_flight, run_state::not_run,
-                       "the account has its most requests in flight", in_flight_retry};
+        return refusals::too_many_in_flight();
     }
     if (account.requests_per_minute > 0) {
         const double per_minute = account.requests_per_minute * share;
@@ -44,8 +44,7 @@
         if (it.tokens < 1) {
             const auto wait =
                 static_cast<std::int64_t>((1 - it.tokens) * us_per_minute / per_minute / 1000);
-            return refusal{error_code::rate_limited, run_state::not_run,
-                           "the account is over its requests a minute", milliseconds{wait + 1}};
+            return refusals::over_rate(milliseconds{wait + 1});
         }
         it.tokens -= 1;
     }
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -1,6 +1,6 @@
 #include "cedarpoint/request/dispatcher.h"
 
-#include "cedarpoint/core/secret.h"
+#include "cedarpoint/request/refusals.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -8,9 +8,6 @@
 namespace cedarpoint {
 namespace {
 
-constexpr milliseconds short_retry{1000};
-constexpr milliseconds claim_retry{2000};
-
 std::string list_candidates(const route_choice& choice)
 {
     std::string out;
@@ -30,35 +27,6 @@
     return it.group ? it.group->str() : it.upstream.str();
 }
 
-/// Grows with each attempt; the salt spreads requests that failed together.
-duration backoff(int attempts, std::uint64_t salt)
-{
-    constexpr milliseconds first{100};
-    constexpr int most_doublings = 5;
-    const auto full = duration{first} * (1 << std::min(attempts - 1, most_doublings));
-    const auto part = static_cast<std::int64_t>((salt >> 8U) % 1000);
-    return full / 2 + full * part / 2000;
-}
-
-refusal claim_refusal(claim_verdict verdict)
-{
-    switch (verdict) {
-    case claim_verdict::running:
-        return {error_code::claim_running, run_state::may_have_run,
-                "a request with this key is running", claim_retry};
-    case claim_verdict::already_ran:
-        return {error_code::already_ran, run_state::ran, "the request with this key ran", {}};
-    case claim_verdict::unknown_end:
-        return {error_code::upstream_failed,
-                run_state::may_have_run,
-                "an earlier request with this key may have run",
-                {}};
-    default:
-        return {error_code::claim_unavailable, run_state::not_run,
-                "the account's home failure domain can't be asked", claim_retry};
-    }
-}
-
 } // namespace
 
 dispatcher::dispatcher(failure_domain_id home, dispatch_options options)
@@ -81,143 +49,55 @@
 
 const account_spec* dispatcher::authenticate(const std::string& key_digest) const
 {
-    const account_spec* out = nullptr;
-    if (config_ == nullptr) {
-        return out;
-    }
-    for (const auto& it : config_->accounts) {
-        if (equal_digest(it.key_sha256, key_digest)) {
-            out = &it;
-        }
-    }
-    return out;
+    return find_account_by_key(config_.get(), key_digest);
 }
 
 actions dispatcher::submit(instant now, request_facts facts)
 {
     actions out;
     const auto id = facts.id;
-    exchange it;
-    it.facts = std::move(facts);
-    it.since = now;
-    if (auto error = prepare(now, it)) {
-        out.emplace_back(decision{id, it.account, "refuse", "", "", error->text});
-        out.emplace_back(refuse{id, std::move(*error)});
-        return out;
+    auto verdict = stopping_ ? caller_verdict{refused_call{{}, refusals::stopping()}}
+                             : admit_caller(now, facts, config_.get(), options_.longest_wait);
+    if (auto* call = std::get_if<admitted_call>(&verdict)) {
+        const auto& account = *config_->find_account(call->account);
+        if (auto error = limits_.admit(now, account, options_.limit_share)) {
+            verdict = refused_call{account.id, std::move(*error)};
+        }
     }
-    const auto* account = config_->find_account(it.account);
-    if (auto error = limits_.admit(now, *account, options_.limit_share)) {
-        out.emplace_back(decision{id, it.account, "refuse", "", "", error->text});
-        out.emplace_back(refuse{id, std::move(*error)});
+    if (auto* it = std::get_if<refused_call>(&verdict)) {
+        out.emplace_back(decision{id, it->account, "refuse", "", "", it->error.text});
+        out.emplace_back(refuse{id, std::move(it->error)});
         return out;
     }
     budget_.on_first_attempt();
-    auto& kept = exchanges_[id] = std::move(it);
-    if (!kept.repeatable && !kept.facts.idempotency_key.empty()) {
-        kept.at = phase::claiming;
-        kept.claimed = true;
-        out.emplace_back(ask_claim{id, {kept.account, kept.facts.idempotency_key}, kept.home});
+    auto& it = open_.add(std::move(facts), std::get<admitted_call>(std::move(verdict)));
+    if (!it.call.repeatable && !it.facts.idempotency_key.empty()) {
+        it.at = open_request::phase::claiming;
+        it.claimed = true;
+        out.emplace_back(ask_claim{id, {it.call.account, it.facts.idempotency_key}, it.call.home});
         return out;
     }
-    enqueue(now, kept, out);
+    enqueue(now, it, out);
     pump(now, out);
     return out;
 }
 
-std::optional<refusal> dispatcher::prepare(instant now, exchange& it) const
-{
-    if (stopping_) {
-        return refusal{error_code::shutting_down, run_state::not_run, "this daemon is stopping",
-                       short_retry};
-    }
-    const auto* account = authenticate(it.facts.key_digest);
-    if (account == nullptr) {
-        return refusal{error_code::unauthorized, run_state::not_run, "no account has this key", {}};
-    }
-    it.account = account->id;
-    it.weight = account->weight;
-    it.home = account->home_failure_domain;
-    it.priority = it.facts.priority.value_or(account->priorities.front());
-    const auto& allowed = account->priorities;
-    if (std::find(allowed.begin(), allowed.end(), it.priority) == allowed.end()) {
-        return refusal{error_code::forbidden_priority,
-                       run_state::not_run,
-                       "the account may not ask for this priority",
-                       {}};
-    }
-    it.give_up = it.facts.deadline.value_or(now + options_.longest_wait);
-    if (it.give_up <= now) {
-        return refusal{
-            error_code::deadline_passed, run_state::not_run, "the deadline has passed", {}};
-    }
-    it.query.salt = std::hash<request_id>{}(it.facts.id);
-    return it.facts.model ? prepare_model(it) : prepare_service(it);
-}
-
-std::optional<refusal> dispatcher::prepare_model(exchange& it) const
-{
-    const auto& model = *it.facts.model;
-    for (const auto& route : config_->routes) {
-        if (route.model == model && (!route.account || *route.account == it.account)) {
-            it.query.pools = route.pools;
-            break;
-        }
-    }
-    if (it.query.pools.empty()) {
-        return refusal{error_code::unknown_model,
-                       run_state::not_run,
-                       "no routing rule serves model \"" + model.str() + "\" to this account",
-                       {}};
-    }
-    it.repeatable = !it.facts.not_repeatable;
-    it.query.prefix = it.facts.prefix;
-    it.lane = "model " + model.str();
-    for (const auto& pool : it.query.pools) {
-        it.lane += " " + pool.str(); // accounts with other routes must not hold each other up
-    }
-    return {};
-}
-
-std::optional<refusal> dispatcher::prepare_service(exchange& it) const
-{
-    const service_spec* best = nullptr;
-    for (const auto& service : config_->services) {
-        const auto& prefix = service.path_prefix;
-        const bool under = it.facts.path.starts_with(prefix) &&
-                           (prefix.back() == '/' || it.facts.path.size() == prefix.size() ||
-                            it.facts.path[prefix.size()] == '/');
-        if (under && (best == nullptr || prefix.size() > best->path_prefix.size())) {
-            best = &service;
-        }
-    }
-    if (best == nullptr) {
-        return refusal{
-            error_code::unknown_path, run_state::not_run, "no service has this path", {}};
-    }
-    it.repeatable = it.facts.safe_method && !it.facts.not_repeatable;
-    it.query.service = best->id;
-    it.lane = "service " + best->id.str();
-    return {};
-}
-
 actions dispatcher::claim_answered(instant now, const request_id& request, claim_verdict verdict)
 {
     actions out;
-    const auto found = exchanges_.find(request);
-    const bool waits = found != exchanges_.end() && found->second.at == phase::claiming;
-    if (!waits) {
+    auto* found = open_.find(request);
+    if (found == nullptr || found->at != open_request::phase::claiming) {
         return out;
     }
-    auto& it = found->second;
+    auto& it = *found;
     if (verdict != claim_verdict::granted) {
         // "Unavailable" may hide a grant whose answer was lost: nothing is sent, so say so.
         it.claimed = verdict == claim_verdict::unavailable;
-        give_up(request, claim_refusal(verdict), out);
+        give_up(request, refusals::not_claimed(verdict), out);
         return out;
     }
-    if (now >= it.give_up) {
-        give_up(request,
-                {error_code::deadline_passed, run_state::not_run, "the deadline passed", {}}, out);
+    if (now >= it.call.give_up) {
+        give_up(request, refusals::deadline_passed_while_claiming(), out);
         return out;
     }
     enqueue(now, it, out);
@@ -225,120 +105,107 @@
     return out;
 }
 
-void dispatcher::enqueue(instant now, exchange& it, actions& out)
+void dispatcher::enqueue(instant now, open_request& it, actions& out)
 {
-    it.at = phase::queued;
-    auto& lane = lanes_[it.lane];
-    const waiting entry{it.facts.id, it.account, it.weight, it.priority, now, it.give_up};
+    const auto& call = it.call;
+    it.at = open_request::phase::queued;
+    auto& lane = lanes_[call.lane];
+    const waiting entry{it.facts.id, call.account, call.weight, call.priority, now, call.give_up};
     if (lane.push(entry)) {
         return;
     }
-    if (const auto victim = lane.shed(it.priority)) {
+    if (const auto victim = lane.shed(call.priority)) {
         lane.remove(*victim, false);
-        give_up(*victim,
-                {error_code::queue_full, run_state::not_run,
-                 "gave its place to a request of a higher class", short_retry},
-                out);
+        give_up(*victim, refusals::displaced(), out);
         if (lane.push(entry)) {
             return;
         }
     }
-    give_up(it.facts.id,
-            {error_code::queue_full, run_state::not_run, "the queue is full", short_retry}, out);
+    give_up(it.facts.id, refusals::queue_full(), out);
 }
 
+/// Starts what can be started, queue by queue, until the next in each finds no place.
 void dispatcher::pump(instant now, actions& out)
 {
     for (auto& [name, lane] : lanes_) {
-        pump_lane(now, lane, out);
-    }
-}
-
-void dispatcher::pump_lane(instant now, wait_queue& lane, actions& out)
-{
-    while (const auto next = lane.next(now)) {
-        auto& it = exchanges_.at(*next);
-        if (!try_start(now, it, out)) {
-            return;
+        while (const auto next = lane.next(now)) {
+            if (!try_start(now, open_.at(*next), out)) {
+                break;
+            }
+            lane.remove(*next, true);
         }
-        lane.remove(*next, true);
     }
 }
 
-bool dispatcher::try_start(instant now, exchange& it, actions& out)
+bool dispatcher::try_start(instant now, open_request& it, actions& out)
 {
+    auto& query = it.call.query;
     if (it.facts.session && it.facts.model) {
-        it.query.session_at = sessions_.find(it.account, *it.facts.session);
+        query.session_at = sessions_.find(it.call.account, *it.facts.session);
     }
-    auto choice = router_.choose(now, it.query);
-    if (choice.chosen == nullptr && !it.query.tried.empty()) {
-        it.query.tried.clear(); // nothing else is free: one that failed may be back
-        choice = router_.choose(now, it.query);
+    auto choice = router_.choose(now, query);
+    if (choice.chosen == nullptr && !query.tried.empty()) {
+        query.tried.clear(); // nothing else is free: one that failed may be back
+        choice = router_.choose(now, query);
     }
     if (choice.chosen == nullptr) {
         return false;
     }
     const auto& place = *choice.chosen;
-    it.at = phase::running;
-    it.sending = false;
-    it.attempt = attempt_id{++last_attempt_};
-    it.upstream = place.upstream;
-    it.query.tried.insert(place.upstream);
-    ++it.attempts;
-    attempts_[it.attempt.value] = it.facts.id;
+    open_.begin_attempt(it, place.upstream);
     std::string why = choice.reason;
     if (place.group && it.facts.session &&
-        sessions_.place(now, it.account, *it.facts.session, *place.group)) {
+        sessions_.place(now, it.call.account, *it.facts.session, *place.group)) {
         why += ", session moved";
     }
-    out.emplace_back(decision{it.facts.id, it.account, it.events > 0 ? "resume" : "route",
+    out.emplace_back(decision{it.facts.id, it.call.account, it.events > 0 ? "resume" : "route",
                               name_of(place), list_candidates(choice), why});
     out.emplace_back(start_attempt{it.facts.id, it.attempt, place.upstream, place.address,
-                                   place.assignment, it.priority, it.events});
-    router_.on_dispatch(now, place, it.query.prefix);
+                                   place.assignment, it.call.priority, it.events});
+    router_.on_dispatch(now, place, query.prefix);
     return true;
 }
 
 void dispatcher::attempt_sending(attempt_id attempt)
 {
-    if (auto* it = find_attempt(attempt)) {
+    if (auto* it = open_.find_attempt(attempt)) {
         it->sending = true;
     }
 }
 
 void dispatcher::attempt_answering(attempt_id attempt)
 {
-    if (auto* it = find_attempt(attempt)) {
+    if (auto* it = open_.find_attempt(attempt)) {
         it->answered = true;
     }
 }
 
 void dispatcher::attempt_event(attempt_id attempt)
 {
-    if (auto* it = find_attempt(attempt)) {
+    if (auto* it = open_.find_attempt(attempt)) {
         ++it->events;
     }
 }
 
 bool dispatcher::wants_server_error(attempt_id attempt) const
 {
-    const auto* it = find_attempt(attempt);
-    return it != nullptr && it->repeatable && it->attempts < options_.max_attempts;
+    const auto* it = open_.find_attempt(attempt);
+    return it != nullptr && it->call.repeatable && it->attempts < options_.max_attempts;
 }
 
 actions dispatcher::attempt_ended(instant now, attempt_id attempt, attempt_end how)
 {
     actions out;
-    auto* it = find_attempt(attempt);
+    auto* it = open_.find_attempt(attempt);
     if (it == nullptr) {
         return out;
     }
-    attempts_.erase(attempt.value);
+    open_.end_attempt(attempt);
     const bool failed = how != attempt_end::complete && how != attempt_end::refused;
     router_.on_end(now, it->upstream, failed);
     if (how == attempt_end::complete) {
         out.emplace_back(
-            decision{it->facts.id, it->account, "end", it->upstream.str(), "", "complete"});
+            decision{it->facts.id, it->call.account, "end", it->upstream.str(), "", "complete"});
         close(it->facts.id, claim_outcome::ran, out);
     }
     else {
@@ -348,39 +215,22 @@
     return out;
 }
 
-void dispatcher::after_failure(instant now, exchange& it, attempt_end how, actions& out)
+void dispatcher::after_failure(instant now, open_request& it, attempt_end how, actions& out)
 {
-    const bool nothing_ran = how == attempt_end::unsent || how == attempt_end::refused;
-    it.sent = it.sent || (it.sending && !nothing_ran);
-    const bool resumable = it.facts.streamed && it.facts.model.has_value();
-    const bool may_repeat = (nothing_ran || it.repeatable) && (!it.answered || resumable);
-    const bool in_time = now < it.give_up || it.answered;
-    if (may_repeat && in_time && it.attempts < options_.max_attempts && budget_.take()) {
-        retry(now, it, out);
+    const auto failed = it.fail(how);
+    const auto step = step_after(now, failed, options_.max_attempts);
+    if (step == failure_step::refuse || !budget_.take()) {
+        give_up(it.facts.id, refusal_after(failed), out);
         return;
     }
-    refusal error{error_code::upstream_failed, run_state::may_have_run, "the runner failed", {}};
-    if (it.answered) {
-        error = {
-            error_code::answer_cut, run_state::ran_cut, "the runner failed during the answer", {}};
-    }
-    else if (!it.sent) {
-        error = {error_code::no_group, run_state::not_run, "no runner took the request",
-                 short_retry};
+    if (step == failure_step::resume) {
+        it.call.give_up = std::max(it.call.give_up, now + options_.longest_wait);
     }
-    give_up(it.facts.id, std::move(error), out);
-}
-
-void dispatcher::retry(instant now, exchange& it, actions& out)
-{
-    if (it.answered) {
-        it.give_up = std::max(it.give_up, now + options_.longest_wait);
-    }
-    const bool elsewhere = router_.choose(now, it.query).chosen != nullptr;
-    it.retry_at = elsewhere ? now : now + backoff(it.attempts, it.query.salt);
-    it.at = phase::backing_off;
+    const bool elsewhere = router_.choose(now, it.call.query).chosen != nullptr;
+    it.retry_at = elsewhere ? now : now + retry_pause(it.attempts, it.call.query.salt);
+    it.at = open_request::phase::backing_off;
     out.emplace_back(decision{
-        it.facts.id, it.account, "retry", "", "",
+        it.facts.id, it.call.account, "retry", "", "",
         fmt::format("{} failed, again in {} ms", it.upstream.str(), to_ms(it.retry_at - now))});
     if (elsewhere) {
         enqueue(now, it, out);
@@ -390,19 +240,18 @@
 actions dispatcher::caller_gone(instant now, const request_id& request)
 {
     actions out;
-    const auto found = exchanges_.find(request);
-    if (found == exchanges_.end()) {
+    const auto* it = open_.find(request);
+    if (it == nullptr) {
         return out;
     }
-    auto& it = found->second;
-    if (it.at == phase::running) {
-        attempts_.erase(it.attempt.value);
-        router_.on_end(now, it.upstream, false);
-        out.emplace_back(cancel_attempt{it.attempt});
+    if (it->at == open_request::phase::running) {
+        open_.end_attempt(it->attempt);
+        router_.on_end(now, it->upstream, false);
+        out.emplace_back(cancel_attempt{it->attempt});
     }
     out.emplace_back(
-        decision{request, it.account, "end", it.upstream.str(), "", "the caller went away"});
-    close(request, it.sent || it.sending ? claim_outcome::may_have_run : claim_outcome::not_run,
+        decision{request, it->call.account, "end", it->upstream.str(), "", "the caller went away"});
+    close(request, it->sent || it->sending ? claim_outcome::may_have_run : claim_outcome::not_run,
           out);
     pump(now, out);
     return out;
@@ -413,63 +262,28 @@
     actions out;
     for (auto& [name, lane] : lanes_) {
         for (const auto& request : lane.expire(now)) {
-            const auto& it = exchanges_.at(request);
-            refusal error{error_code::no_group, run_state::not_run,
-                          "nothing could serve it in time", short_retry};
-            if (it.facts.deadline) {
-                error = {error_code::deadline_passed,
-                         run_state::not_run,
-                         "the deadline passed in the queue",
-                         {}};
-            }
-            if (it.answered) {
-                error = {error_code::answer_cut,
-                         run_state::ran_cut,
-                         "no group could go on with the answer",
-                         {}};
-            }
-            else if (it.sent) {
-                error.ran = run_state::may_have_run;
-            }
-            give_up(request, std::move(error), out);
+            const auto& it = open_.at(request);
+            give_up(request,
+                    refusal_after(overdue_request{.has_deadline = it.facts.deadline.has_value(),
+                                                  .answered = it.answered,
+                                                  .may_have_run = it.sent}),
+                    out);
         }
     }
-    end_backoff(now, out);
+    for (const auto& request : open_.rested(now)) {
+        enqueue(now, open_.at(request), out);
+    }
     sessions_.expire(now);
     pump(now, out);
     return out;
 }
 
-void dispatcher::end_backoff(instant now, actions& out)
-{
-    std::vector<request_id> due;
-    for (const auto& [id, it] : exchanges_) {
-        if (it.at == phase::backing_off && it.retry_at <= now) {
-            due.push_back(id);
-        }
-    }
-    std::sort(due.begin(), due.end());
-    for (const auto& id : due) {
-        enqueue(now, exchanges_.at(id), out);
-    }
-}
-
 actions dispatcher::begin_stop(instant now)
 {
     actions out;
     stopping_ = true;
-    std::vector<request_id> waiting_ones;
-    for (const auto& [id, it] : exchanges_) {
-        if (it.at != phase::running && !it.sent && !it.answered) {
-            waiting_ones.push_back(id);
-        }
-    }
-    std::sort(waiting_ones.begin(), waiting_ones.end());
-    for (const auto& id : waiting_ones) {
-        give_up(
-            id,
-            {error_code::shutting_down, run_state::not_run, "this daemon is stopping", short_retry},
-            out);
+    for (const auto& request : open_.untouched()) {
+        give_up(request, refusals::stopping(), out);
     }
     pump(now, out);
     return out;
@@ -477,26 +291,26 @@
 
 void dispatcher::give_up(const request_id& request, refusal error, actions& out)
 {
-    const auto& it = exchanges_.at(request);
-    out.emplace_back(decision{request, it.account, "refuse", "", "", error.text});
+    const auto& it = open_.at(request);
+    out.emplace_back(decision{request, it.call.account, "refuse", "", "", error.text});
     const auto outcome = it.sent ? claim_outcome::may_have_run : claim_outcome::not_run;
     out.emplace_back(refuse{request, std::move(error)});
     close(request, outcome, out);
 }
 
+/// The end of every request that was admitted.
 void dispatcher::close(const request_id& request, claim_outcome outcome, actions& out)
 {
-    const auto found = exchanges_.find(request);
-    auto& it = found->second;
+    const auto& it = open_.at(request);
     if (it.claimed) {
         out.emplace_back(
-            end_claim{request, {it.account, it.facts.idempotency_key}, it.home, outcome});
+            end_claim{request, {it.call.account, it.facts.idempotency_key}, it.call.home, outcome});
     }
-    if (it.at == phase::queued) {
-        lanes_[it.lane].remove(request, false);
+    if (it.at == open_request::phase::queued) {
+        lanes_[it.call.lane].remove(request, false);
     }
-    limits_.release(it.account);
-    exchanges_.erase(found);
+    limits_.release(it.call.account);
+    open_.close(request);
 }
 
 std::size_t dispatcher::queued() const
@@ -508,19 +322,4 @@
     return n;
 }
 
-const dispatcher::exchange* dispatcher::find_attempt(attempt_id attempt) const
-{
-    const auto found = attempts_.find(attempt.value);
-    if (found == attempts_.end()) {
-        return nullptr;
-    }
-    const auto it = exchanges_.find(found->second);
-    return it == exchanges_.end() ? nullptr : &it->second;
-}
-
-dispatcher::exchange* dispatcher::find_attempt(attempt_id attempt)
-{
-    return const_cast<exchange*>(std::as_const(*this).find_attempt(attempt));
-}
-
 } // namespace cedarpoint
--- /dev/null
+++ b/src/request/failure_rule.cpp
@@ -0,0 +1,56 @@
+#include "cedarpoint/request/failure_rule.h"
+
+#include "cedarpoint/request/refusals.h"
+
+#include <algorithm>
+
+namespace cedarpoint {
+
+failure_step step_after(instant now, const failed_attempt& it, int max_attempts)
+{
+    if (it.attempts >= max_attempts) {
+        return failure_step::refuse;
+    }
+    if (!it.repeatable && !proves_not_run(it.how)) {
+        return failure_step::refuse;
+    }
+    if (it.answered) {
+        // The time to give up bounds the wait for an answer to begin; this one has begun.
+        return it.resumable ? failure_step::resume : failure_step::refuse;
+    }
+    return now < it.give_up ? failure_step::retry : failure_step::refuse;
+}
+
+refusal refusal_after(const failed_attempt& it)
+{
+    if (it.answered) {
+        return refusals::runner_failed_while_answering();
+    }
+    return it.may_have_run ? refusals::runner_failed() : refusals::no_runner_took_it();
+}
+
+refusal refusal_after(const overdue_request& it)
+{
+    if (it.answered) {
+        return refusals::no_group_to_resume();
+    }
+    auto out =
+        it.has_deadline ? refusals::deadline_passed_in_queue() : refusals::nothing_free_in_time();
+    if (it.may_have_run) {
+        out.ran = run_state::may_have_run;
+    }
+    return out;
+}
+
+duration retry_pause(int attempts, std::uint64_t salt)
+{
+    // Not measured.
+    constexpr milliseconds first_pause{100};
+    constexpr int most_doublings = 5; // 3.2 s at most
+    constexpr std::int64_t parts = 1000;
+    const auto full = duration{first_pause} * (1 << std::min(attempts - 1, most_doublings));
+    const auto part = static_cast<std::int64_t>((salt >> 8U) % parts);
+    return full / 2 + full * part / (2 * parts);
+}
+
+} // namespace cedarpoint
