--- a/include/cedarpoint/admission/wait_queue.h
+++ b/include/cedarpoint/admission/wait_queue.h
@@ -23,38 +23,46 @@
     instant give_up; ///< the deadline, or the longest wait
 };
 
-/// Requests of one model or service that wait for a slot. Alarms first, then normal, then bulk;
-/// a request that has waited `promote_after` moves up a class, so that nothing starves.
-/// Within a class accounts share by weight. Bounded in length.
+/// Requests with the same routes that wait for a slot. Owns their order:
+///   class    alarm, then normal, then bulk; a request that has waited `promote_after` counts as
+///            one class higher, so that nothing starves
+///   account  within a class, the account that was served least for its weight (as in start-time
+///            fair queueing; a request costs 1 / weight)
+///   arrival  within an account and class, first come first served
+/// Relies on its user to remove what it serves or gives up.
 class wait_queue {
 public:
+    /// Requests, over all classes and accounts. Not measured.
     static constexpr std::size_t max_length = 2048;
+    /// Not measured.
     static constexpr duration promote_after = seconds{20};
 
-    /// False if the queue is full. An alarm is let in as long as a lower class waits: see `shed`.
+    /// False if the queue is full; `shed` then names a request that may have to give its place.
     [[nodiscard]] bool push(const waiting& it);
     /// The request to give up so that one of `priority` can be let in: the newest of the lowest
-    /// class.
-    std::optional<request_id> shed(priority_class priority);
-    /// The next request that should run; it stays queued until `remove`.
+    /// class that has one. Empty if only this class and higher ones wait.
+    [[nodiscard]] std::optional<request_id> shed(priority_class priority);
+    /// The next request that should run; it stays queued until `remove`. Empty if none waits.
     [[nodiscard]] std::optional<request_id> next(instant now) const;
+    /// `served` counts it against its account's share. Nothing happens if it is not queued.
     void remove(const request_id& request, bool served);
-    /// Takes out every request whose time to give up has come.
-    std::vector<request_id> expire(instant now);
+    /// Takes out every request whose time to give up has come, and names them.
+    [[nodiscard]] std::vector<request_id> expire(instant now);
 
     [[nodiscard]] std::size_t size() const { return size_; }
 
 private:
     static constexpr std::size_t classes = 3;
 
+    /// One account's requests of one class.
     struct lane {
         std::deque<waiting> requests;
-        double virtual_time = 0; ///< service received so far, over weight
+        double virtual_time = 0; ///< requests served so far, over weight
     };
     using lanes = std::map<client_account_id, lane>;
 
-    std::array<lanes, classes> by_class_;
-    std::array<double, classes> clock_{}; ///< virtual time of the latest request served
+    std::array<lanes, classes> by_class_; ///< by `priority_class`; the first is the highest
+    std::array<double, classes> clock_{}; ///< highest virtual time at which one was served
     std::size_t size_ = 0;
 };
 
--- a/src/admission/account_limits.cpp
+++ b/src/admission/account_limits.cpp
@@ -9,8 +9,11 @@
 namespace {
 
 constexpr double us_per_minute = 60e6;
-constexpr double burst_minutes = 1.0 / 6; ///< ten seconds' worth may start at once
+constexpr double us_per_ms = 1000;
+/// The bucket's size: ten seconds' worth of requests may start at once. Not measured.
+constexpr double burst_minutes = 1.0 / 6;
 
+/// Rounded up, and at least 1.
 int share_of(int limit, double share)
 {
     return std::max(1, static_cast<int>(std::ceil(limit * share)));
@@ -42,8 +45,9 @@
         const double per_minute = account.requests_per_minute * share;
         refill(it, now, per_minute);
         if (it.tokens < 1) {
+            // Until the token is whole, rounded up to a whole millisecond.
             const auto wait =
-                static_cast<std::int64_t>((1 - it.tokens) * us_per_minute / per_minute / 1000);
+                static_cast<std::int64_t>((1 - it.tokens) * us_per_minute / per_minute / us_per_ms);
             return refusals::over_rate(milliseconds{wait + 1});
         }
         it.tokens -= 1;
--- a/src/admission/wait_queue.cpp
+++ b/src/admission/wait_queue.cpp
@@ -3,6 +3,16 @@
 #include <algorithm>
 
 namespace cedarpoint {
+namespace {
+
+/// The class that the request counts as now: one higher than `own` once it has waited long.
+std::size_t rank_of(const waiting& it, std::size_t own, instant now)
+{
+    const bool promoted = own > 0 && now - it.since >= wait_queue::promote_after;
+    return promoted ? own - 1 : own;
+}
+
+} // namespace
 
 bool wait_queue::push(const waiting& it)
 {
@@ -48,8 +58,7 @@
                 continue;
             }
             const auto& front = own.requests.front();
-            const bool promoted = n > 0 && now - front.since >= promote_after;
-            const std::size_t rank = promoted ? n - 1 : n;
+            const auto rank = rank_of(front, n, now);
             if (rank < best_class || (rank == best_class && own.virtual_time < best_time)) {
                 best = &front;
                 best_class = rank;
--- a/src/routing/breaker.cpp
+++ b/src/routing/breaker.cpp
@@ -10,7 +10,8 @@
 void breaker::on_dispatch(instant now)
 {
     if (is_open()) {
-        retry_at_ = now + open_time; // one trial; the next only when this one is overdue
+        // This is the trial. If its end never comes, the next may start `open_time` later.
+        retry_at_ = now + open_time;
     }
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -16,22 +16,36 @@
            std::find(query.pools.begin(), query.pools.end(), *it.pool) != query.pools.end();
 }
 
-/// A small deterministic spread, so that equal targets do not all get the first request.
+/// 0 to 1e-6, the same for the same request and target: without it, of equal targets the first in
+/// the table would always be chosen.
 double spread(const target& it, std::uint64_t salt)
 {
-    constexpr std::uint64_t odd = 0x9E3779B97F4A7C15ULL;
+    constexpr std::uint64_t golden_ratio = 0x9E3779B97F4A7C15ULL; // 2^64 over it: mixes well
+    constexpr unsigned kept_bits = 20;                            // the product's highest
     constexpr double tiny = 1e-6;
-    const auto mixed = (std::hash<runner_id>{}(it.upstream) ^ salt) * odd;
-    return static_cast<double>(mixed >> 44U) / (1U << 20U) * tiny;
+    const auto mixed = (std::hash<runner_id>{}(it.upstream) ^ salt) * golden_ratio;
+    return static_cast<double>(mixed >> (64U - kept_bits)) / (1U << kept_bits) * tiny;
 }
 
 } // namespace
 
+int router::requests_at(const target& it) const
+{
+    return in_flight(it.upstream) + it.reported_others;
+}
+
 double router::load(const target& it) const
 {
-    return static_cast<double>(in_flight(it.upstream) + it.reported_others) / std::max(1, it.slots);
+    return static_cast<double>(requests_at(it)) / std::max(1, it.slots);
+}
+
+bool router::has_cached(const target& it, std::uint64_t prefix) const
+{
+    const auto found = prefixes_.find(prefix);
+    return prefix != 0 && it.group && found != prefixes_.end() && found->second.group == *it.group;
 }
 
+/// The first reason that fits, for the decision log; empty if the place can take the request.
 std::string router::why_out(instant now, const target& it, const route_query& query) const
 {
     if (query.tried.contains(it.upstream)) {
@@ -50,7 +64,7 @@
         found != breakers_.end() && !found->second.allows(now)) {
         return "breaker open";
     }
-    if (in_flight(it.upstream) + it.reported_others >= it.slots) {
+    if (requests_at(it) >= it.slots) {
         return full_note;
     }
     return {};
@@ -58,21 +72,13 @@
 
 double router::score(const target& it, const route_query& query) const
 {
-    double out = -load(it) + spread(it, query.salt);
-    if (it.failure_domain == home_) {
-        out += home_bonus;
-    }
-    if (!it.group) {
-        return out;
-    }
-    if (query.session_at == it.group) {
-        out += session_bonus;
-    }
-    if (const auto found = prefixes_.find(query.prefix);
-        query.prefix != 0 && found != prefixes_.end() && found->second.group == *it.group) {
-        out += prefix_bonus;
-    }
-    return out;
+    const bool holds_session = it.group && query.session_at == it.group;
+    const double by_load = -load(it);
+    const double by_spread = spread(it, query.salt);
+    const double by_domain = it.failure_domain == home_ ? home_bonus : 0;
+    const double by_session = holds_session ? session_bonus : 0;
+    const double by_prefix = has_cached(it, query.prefix) ? prefix_bonus : 0;
+    return by_load + by_spread + by_domain + by_session + by_prefix;
 }
 
 route_choice router::choose(instant now, const route_query& query) const
