--- a/src/fleet/leader_recovery.cpp
+++ b/src/fleet/leader_recovery.cpp
@@ -61,7 +61,7 @@
         group.model = formed.model;
         group.members = formed.members;
         auto& kept = plan_.add(std::move(group));
-        lifecycle_.enter(now, kept, plan_phase::serving, "inherited from the log");
+        lifecycle_.enter(now, kept, plan_phase::serving, "inherited");
     }
 }
 
