--- /dev/null
+++ b/tests/compat/names_test.cpp
@@ -0,0 +1,357 @@
+// Names that operators' dashboards and searches rest on: metrics, and logged events with their
+// fields. Each in the golden files must still be shown by real processes; more may be. What a run
+// showed is left beside the build as found-*.
+
+#include "compat/compat_support.h"
+#include "daemon/site.h"
+#include "fleet/fleet_site.h"
+
+#include <chrono>
+#include <csignal>
+
+#include <fmt/format.h>
+#include <gtest/gtest.h>
+#include <sstream>
+
+namespace cedarpoint {
+namespace {
+
+using namespace testing_support;
+
+/// The golden lines of one role, without the role.
+std::vector<std::string> golden_of(const std::string& file, const std::string& role)
+{
+    std::vector<std::string> out;
+    for (const auto& line : kept_lines(file)) {
+        if (line.starts_with(role + " ")) {
+            out.push_back(line.substr(role.size() + 1));
+        }
+    }
+    EXPECT_FALSE(out.empty()) << file << " " << role;
+    return out;
+}
+
+void expect_metrics(const std::string& role, const endpoint& at)
+{
+    const auto answer = call(at, "GET", "/metrics", "", "");
+    EXPECT_EQ(answer.head.status, 200);
+    const auto shown = metrics_in(answer.body);
+    std::string found;
+    for (const auto& each : shown) {
+        found += fmt::format("{} {}\n", role, each);
+    }
+    note_found("metrics-" + role, found);
+    for (const auto& each : golden_of("metrics.golden", role)) {
+        EXPECT_TRUE(shown.contains(each)) << "is not shown any more by " << role << ": " << each;
+    }
+}
+
+void expect_events(const std::string& role, const std::string& log)
+{
+    const auto logged = events_in(log);
+    std::string found;
+    for (const auto& [event, names] : logged) {
+        found += fmt::format("{} {}", role, event);
+        for (const auto& name : names) {
+            found += " " + name;
+        }
+        found += "\n";
+    }
+    note_found("events-" + role, found);
+    for (const auto& line : golden_of("events.golden", role)) {
+        std::istringstream in{line};
+        std::string event;
+        in >> event;
+        const auto names = logged.find(event);
+        ASSERT_NE(names, logged.end()) << role << " does not log " << event << " any more";
+        for (std::string name; in >> name;) {
+            EXPECT_TRUE(names->second.contains(name)) << role << " " << event << " lost " << name;
+        }
+    }
+}
+
+// --- the fleet ----------------------------------------------------------------------------------
+
+const std::string key = "Authorization: Bearer k2\r\n";
+
+class a_fleet_of_processes : public testing::Test {
+protected:
+    a_fleet_of_processes()
+    {
+        for (const auto* id : {"i-1", "i-2", "i-3"}) {
+            runners.push_back(std::make_unique<platform_runner>(id, "pool", seeds));
+        }
+        for (const auto* id : {"s-1", "s-2"}) {
+            runners.push_back(std::make_unique<platform_runner>(id, "shop", seeds));
+        }
+        const auto file = kept_text("data/platform-document.json");
+        EXPECT_TRUE(control->wait_for_line({R"("event":"leading")"})) << control->log();
+        put_status = post("/cedarpoint/config/put", file);
+    }
+
+    [[nodiscard]] nlohmann::json control_settings() const
+    {
+        return {{"role", "control"},
+                {"name", "c"},
+                {"failure_domain", "z"},
+                {"address", mesh.str()},
+                {"control", seeds[0].str()},
+                {"metrics", control_metrics.str()},
+                {"data_folder", folder.path().toStdString()},
+                {"seeds", {seeds[0].str()}},
+                {"tolerated_losses", 0},
+                {"first_start", true},
+                {"heartbeat_ms", 150},
+                {"json_logs", true}};
+    }
+
+    [[nodiscard]] nlohmann::json entry_settings() const
+    {
+        return {{"role", "entry"},
+                {"name", "e"},
+                {"failure_domain", "z"},
+                {"address", endpoint{callers.ip, mesh.port}.str()},
+                {"callers", callers.str()},
+                {"ready", ready.str()},
+                {"metrics", entry_metrics.str()},
+                {"seeds", {seeds[0].str()}},
+                {"json_logs", true}};
+    }
+
+    int post(const std::string& path, const std::string& body)
+    {
+        return call(seeds[0], "POST", path, "", body).head.status;
+    }
+
+    http_answer ask(const std::string& method, const std::string& path, const std::string& headers)
+    {
+        const auto id = fmt::format("r{}", ++requests);
+        return call(callers, method, path,
+                    headers + "X-Cedarpoint-Request-Id: " + id +
+                        "\r\nX-Cedarpoint-Deadline-Ms: 4000\r\nX-Cedarpoint-Model: small\r\n",
+                    "why");
+    }
+
+    /// True once both kinds of routes answer. Asks slowly: lines of one kind are bounded, and what
+    /// a fast caller's refusals leave out would be missing from the log.
+    bool serves()
+    {
+        const auto pause = std::chrono::milliseconds{50};
+        auto next = std::chrono::steady_clock::now();
+        return wait_until([&] {
+            if (std::chrono::steady_clock::now() < next) {
+                return false;
+            }
+            next = std::chrono::steady_clock::now() + pause;
+            return ask("POST", "/ask/x", key).head.status == 200 &&
+                   ask("GET", "/safe/x", key).head.status == 200;
+        });
+    }
+
+    /// Makes each of the daemons say what it says only now and then.
+    void make_trouble()
+    {
+        for (const auto& runner : runners) {
+            runner->fail_next = 1; // an attempt that fails
+            runner->cut_stream = true;
+        }
+        ask("GET", "/safe/x", key);
+        ask("POST", "/ask/x", key);
+        ask("GET", "/nowhere/x", key);
+        EXPECT_EQ(post("/cedarpoint/instances/i-9/heartbeat", "{}"), 400);
+        EXPECT_EQ(post("/cedarpoint/config/put", "{}"), 400);
+        EXPECT_EQ(post("/cedarpoint/instances/i-9/deregister", ""), 200);
+        control->signal(SIGHUP);
+        entry->signal(SIGHUP);
+        runners.erase(runners.begin()); // a head that is gone: its address refuses
+        EXPECT_TRUE(control->wait_for_line({R"("event":"look_failed")"})) << control->log();
+        // One more control daemon asks to be let in.
+        auto newcomer = control_settings();
+        newcomer["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
+        newcomer["control"] = free_endpoint(2).str();
+        newcomer["metrics"] = free_endpoint(2).str();
+        newcomer["data_folder"] = folder.path().toStdString() + "/newcomer";
+        newcomer["first_start"] = false;
+        const daemon_run follower{"fleet", newcomer};
+        EXPECT_TRUE(control->wait_for_line({R"("event":"member")"})) << control->log();
+    }
+
+    QTemporaryDir folder;
+    endpoint mesh = free_endpoint(0);
+    std::vector<endpoint> seeds{free_endpoint(0)};
+    endpoint control_metrics = free_endpoint(0);
+    endpoint callers = free_endpoint(1);
+    endpoint ready = free_endpoint(1);
+    endpoint entry_metrics = free_endpoint(1);
+    std::unique_ptr<daemon_run> control = std::make_unique<daemon_run>("fleet", control_settings());
+    std::unique_ptr<daemon_run> entry = std::make_unique<daemon_run>("fleet", entry_settings());
+    std::vector<std::unique_ptr<platform_runner>> runners;
+    int put_status = 0;
+    int requests = 0;
+};
+
+TEST_F(a_fleet_of_processes, shows_the_metrics_of_an_earlier_version)
+{
+    ASSERT_EQ(put_status, 200);
+    ASSERT_TRUE(serves()) << entry->log();
+    EXPECT_EQ(ask("POST", "/once/x", key).head.status, 200);
+    expect_metrics("control", control_metrics);
+    expect_metrics("entry", entry_metrics);
+}
+
+TEST_F(a_fleet_of_processes, logs_the_events_of_an_earlier_version)
+{
+    ASSERT_EQ(put_status, 200);
+    ASSERT_TRUE(serves()) << entry->log();
+    make_trouble();
+    entry->signal(SIGTERM);
+    EXPECT_EQ(entry->wait_ended(), 0);
+    EXPECT_TRUE(control->wait_for_line({R"("event":"dependency_lost")"})) << control->log();
+    auto same_addresses = control_settings();
+    same_addresses["data_folder"] = folder.path().toStdString() + "/second";
+    daemon_run second{"fleet", same_addresses};
+    EXPECT_EQ(second.wait_ended(), 2);
+    control->signal(SIGTERM);
+    EXPECT_EQ(control->wait_ended(), 0);
+    expect_events("control", control->log() + second.log());
+    expect_events("entry", entry->log());
+}
+
+TEST_F(a_fleet_of_processes, takes_a_platforms_document_as_an_earlier_version_did)
+{
+    ASSERT_EQ(put_status, 200);
+    EXPECT_EQ(call(seeds[0], "GET", "/cedarpoint/config/get", "", "").body,
+              kept_text("data/platform-document.json"));
+    EXPECT_TRUE(entry->wait_for_line({R"("event":"in_force")", R"("version":"12")"}));
+    ASSERT_TRUE(serves()) << entry->log();
+    // A group of three, as the engine's model says.
+    EXPECT_TRUE(
+        control->has_line({R"("event":"placement")", R"("phase":"serving")", "i-1", "i-2", "i-3"}))
+        << control->log();
+    const auto streamed = ask("POST", "/ask/x", key);
+    EXPECT_EQ(streamed.head.fields.get("Content-Type"), "text/event-stream");
+    EXPECT_EQ(ask("POST", "/once/x", key).body, "plain why");
+    EXPECT_EQ(ask("POST", "/once/x", "Authorization: Bearer k1\r\n").head.status, 200);
+    EXPECT_EQ(ask("POST", "/once/x", "Authorization: Bearer k3\r\n").head.status, 401);
+    EXPECT_EQ(ask("GET", "/safe/x", "").head.status, 200) << "a public route asks for no key";
+    EXPECT_EQ(ask("GET", "/nowhere/x", key).head.status, 404);
+    for (std::size_t each = 3; each < runners.size(); ++each) {
+        for (const auto& account : runners[each]->accounts) {
+            EXPECT_TRUE(account == "till" || account.empty()) << account;
+        }
+    }
+}
+
+// --- a daemon that names its peers --------------------------------------------------------------
+
+class a_peer_process : public testing::Test {
+protected:
+    a_peer_process()
+    {
+        reason why;
+        for (int made = 0; made < 5; ++made) { // four engines and a shop
+            engines.push_back(std::make_unique<stand_in_runner>(stand_in_runner::options{}));
+            engines.back()->start({"127.0.0.1", 0}, why);
+        }
+        EXPECT_TRUE(wait_until([&] { return post("/v1/configuration", file()) == 200; }));
+    }
+
+    [[nodiscard]] nlohmann::json own() const
+    {
+        return {{"id", "d1"},
+                {"failure_domain", "zone"},
+                {"callers", callers.str()},
+                {"operators", operators.str()},
+                {"data_folder", folder.path().toStdString()},
+                {"watch_interval_ms", 50},
+                {"json_logs", true}};
+    }
+
+    [[nodiscard]] std::string file() const
+    {
+        auto out = nlohmann::json::parse(R"({"based_on": 0, "change_id": "first",
+            "failure_domains": ["zone"],
+            "fabric_domains": [{"id": "rack", "failure_domain": "zone"}],
+            "models": [{"id": "m", "versions": ["1"]}],
+            "routing_rules": [{"model": "m", "replica_groups": ["pool"]}],
+            "replica_groups": [{"id": "pool", "model": "m", "version": "1",
+                                "failure_domain": "zone", "size": 4, "count": 1}]})");
+        for (int each = 0; each < 4; ++each) {
+            const auto node = fmt::format("n{}", each);
+            out["nodes"].push_back({{"id", node}, {"fabric_domain", "rack"}});
+            out["runners"].push_back(
+                {{"id", fmt::format("r{}", each)}, {"node", node}, {"address", address_of(each)}});
+        }
+        const nlohmann::json upstream{
+            {"id", "shop-1"}, {"failure_domain", "zone"}, {"address", address_of(4)}};
+        out["services"].push_back(
+            {{"id", "shop"}, {"path_prefix", "/shop"}, {"upstreams", nlohmann::json::array()}});
+        out["services"][0]["upstreams"].push_back(upstream);
+        out["client_accounts"].push_back(
+            {{"id", "acme"}, {"key_sha256", sha256_of_secret}, {"home_failure_domain", "zone"}});
+        return out.dump();
+    }
+
+    [[nodiscard]] std::string address_of(int engine) const
+    {
+        return engines[static_cast<std::size_t>(engine)]->address().str();
+    }
+
+    int post(const std::string& path, const std::string& body) const
+    {
+        return call(operators, "POST", path, "", body).head.status;
+    }
+
+    /// True once the group and the shop answer.
+    [[nodiscard]] bool serves() const
+    {
+        return wait_until([&] { return chat() == 200 && shop("") == 200; });
+    }
+
+    [[nodiscard]] int chat() const
+    {
+        return call(callers, "POST", "/v1/chat/completions", secret,
+                    R"({"model":"m","stream":true,"messages":[{"role":"user","content":"why"}]})")
+            .head.status;
+    }
+
+    [[nodiscard]] int shop(const std::string& headers) const
+    {
+        return call(callers, "POST", "/shop/order", secret + headers, "x").head.status;
+    }
+
+    static constexpr const char* sha256_of_secret =
+        "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
+    const std::string secret = "Authorization: Bearer secret\r\n";
+    QTemporaryDir folder;
+    endpoint callers = free_endpoint(0);
+    endpoint operators = free_endpoint(0);
+    std::vector<std::unique_ptr<stand_in_runner>> engines;
+    daemon_run process{"serve", own()};
+};
+
+TEST_F(a_peer_process, shows_the_metrics_of_an_earlier_version)
+{
+    ASSERT_TRUE(serves()) << process.log();
+    EXPECT_EQ(call(callers, "POST", "/shop/order", "", "x").head.status, 401);
+    expect_metrics("peer", operators);
+}
+
+TEST_F(a_peer_process, logs_the_events_of_an_earlier_version)
+{
+    ASSERT_TRUE(serves()) << process.log();
+    EXPECT_EQ(shop("Idempotency-Key: k\r\nCedarpoint-Not-Repeatable: true\r\n"), 200);
+    engines.back()->fail_next(fault_stage::after_request, 1);
+    EXPECT_NE(shop("Cedarpoint-Not-Repeatable: true\r\n"), 200);
+    EXPECT_TRUE(process.wait_for_line({R"("event":"upstream_failed")"})) << process.log();
+    auto same_addresses = own();
+    same_addresses["data_folder"] = folder.path().toStdString() + "/second";
+    daemon_run second{"serve", same_addresses};
+    EXPECT_EQ(second.wait_ended(), 2);
+    process.signal(SIGTERM);
+    EXPECT_EQ(process.wait_ended(), 0);
+    expect_events("peer", process.log() + second.log());
+}
+
+} // namespace
+} // namespace cedarpoint
