--- a/include/cedarpoint/admission/wait_queue.h
+++ b/include/cedarpoint/admission/wait_queue.h
@@ -20,7 +20,7 @@
     int weight = 1;
     priority_class priority = priority_class::normal;
     instant since;
-    instant give_up; ///< the deadline, or the longest wait
+    instant give_up; ///< the deadline, or the end of the longest wait
 };
 
 /// Requests with the same routes that wait for a slot. Owns their order:
--- a/include/cedarpoint/request/actions.h
+++ b/include/cedarpoint/request/actions.h
@@ -20,7 +20,7 @@
     attempt_id attempt;
     runner_id upstream;
     endpoint address;
-    epoch assignment; ///< 0 for plain services
+    epoch assignment; ///< the group's fencing token; 0 for plain services
     priority_class priority = priority_class::normal;
     std::uint64_t resume_after = 0; ///< whole events that the caller has already
 };
@@ -30,7 +30,7 @@
     attempt_id attempt;
 };
 
-/// Give the caller its final answer: this error. Once, and nothing after it.
+/// Answer the caller with this error; it is the last action for the request's caller.
 struct refuse {
     request_id request;
     refusal error;
@@ -43,7 +43,7 @@
     failure_domain_id home;
 };
 
-/// Tell the home failure domain how a claimed request ended.
+/// Report a claimed request's outcome to the home failure domain.
 struct end_claim {
     request_id request;
     claim_key key;
@@ -56,11 +56,12 @@
     request_id request;
     client_account_id account;
     std::string step;       ///< "route", "queue", "refuse", "retry", "resume", "end" ...
-    std::string chosen;     ///< group or upstream; may be empty
-    std::string candidates; ///< "id:score" or "id:why out", blank between
+    std::string chosen;     ///< group or upstream; empty if none was chosen
+    std::string candidates; ///< "id:score" or "id:why not", separated by blanks
     std::string reason;
 };
 
+/// What the dispatcher wants done, in order.
 using action = std::variant<start_attempt, cancel_attempt, refuse, ask_claim, end_claim, decision>;
 using actions = std::vector<action>;
 
--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -18,11 +18,11 @@
 
 namespace cedarpoint {
 
-/// Bounds that the operator can set.
+/// Limits of one daemon. The defaults were not measured.
 struct dispatch_options {
     duration longest_wait = seconds{30}; ///< in the queue, for requests without a deadline
-    int max_attempts = 4;
-    double limit_share = 1.0; ///< of the accounts' fleet-wide limits
+    int max_attempts = 4;                ///< for one request, the first one included
+    double limit_share = 1.0;            ///< fraction of the accounts' fleet-wide limits, 0 to 1
 };
 
 /// Decides about every request of one daemon, from its arrival to its final answer, by asking in
@@ -34,10 +34,14 @@
 public:
     dispatcher(failure_domain_id home, dispatch_options options);
 
+    /// Before the first one every key is unknown.
     void set_configuration(std::shared_ptr<const configuration> config);
+    /// Replaces the places that requests can go to, and starts what now finds one.
     [[nodiscard]] actions set_targets(instant now, target_table all);
 
+    /// A new request: refuses it, asks for its claim, queues or starts it.
     [[nodiscard]] actions submit(instant now, request_facts facts);
+    /// The answer to `ask_claim`. No actions if the request no longer waits for it.
     [[nodiscard]] actions claim_answered(instant now, const request_id& request,
                                          claim_verdict verdict);
     /// Bytes of the request are about to be handed to the connection.
@@ -48,20 +52,30 @@
     void attempt_event(attempt_id attempt);
     /// Whether a 5xx answer should come back as `server_error` rather than be passed on.
     [[nodiscard]] bool wants_server_error(attempt_id attempt) const;
+    /// Ends the request, or retries, resumes or refuses it. No actions for an attempt that has
+    /// ended.
     [[nodiscard]] actions attempt_ended(instant now, attempt_id attempt, attempt_end how);
+    /// The caller closed its connection: cancels the request.
     [[nodiscard]] actions caller_gone(instant now, const request_id& request);
+    /// Gives up what waited too long and starts retries that are due. The shorter the time between
+    /// two calls, the less late both are.
     [[nodiscard]] actions tick(instant now);
-    /// From now on every new request is refused; those that run go on.
+    /// Graceful shutdown: refuses new requests and those that wait and never ran; the others go on.
     [[nodiscard]] actions begin_stop(instant now);
 
+    /// Requests between admission and final answer, queued ones included.
     [[nodiscard]] std::size_t in_flight() const { return open_.size(); }
     [[nodiscard]] std::size_t queued() const;
+    /// Sessions whose group is known.
     [[nodiscard]] std::size_t sessions() const { return sessions_.size(); }
+    /// Attempts that run at one upstream.
     [[nodiscard]] int in_flight_at(const runner_id& upstream) const
     {
         return router_.in_flight(upstream);
     }
+    /// The account with this key (digest: lower-case hex SHA-256); null if there is none.
     [[nodiscard]] const account_spec* authenticate(const std::string& key_digest) const;
+    /// Null until one is set.
     [[nodiscard]] const configuration* config() const { return config_.get(); }
 
 private:
--- a/include/cedarpoint/request/refusal.h
+++ b/include/cedarpoint/request/refusal.h
@@ -8,15 +8,16 @@
 
 namespace cedarpoint {
 
-/// What a caller may conclude about its request when it gets an error.
+/// Whether a request that ended in an error ran, as far as is known. Tells the caller whether a
+/// retry can run it twice.
 enum class run_state {
-    not_run,      ///< nothing reached a runner: safe to send again
+    not_run,      ///< no runner took it: safe to retry
     may_have_run, ///< a runner may have taken it
     ran_cut,      ///< it ran, the answer was cut off
-    ran           ///< it ran to its end, at an earlier call with the same key
+    ran           ///< an earlier call with the same idempotency key ran to its end
 };
 
-/// Every error that a caller can get. `describe` gives the status and the name.
+/// Every error that a caller can get; `describe` maps it to HTTP.
 enum class error_code {
     bad_request,
     body_too_large,
@@ -42,22 +43,24 @@
 
 /// How an error looks on the wire.
 struct error_shape {
-    int status = 0;
-    std::string_view name;
+    int status = 0;        ///< HTTP
+    std::string_view name; ///< `error.code` in the body
 };
 
 error_shape describe(error_code it);
+/// `error.ran` in the body.
 std::string_view name_of(run_state it);
 
-/// The final answer to a request that gets none from a runner.
+/// The error response to a request that a runner did not answer.
 struct refusal {
     error_code code = error_code::bad_request;
     run_state ran = run_state::not_run;
     std::string text;
-    std::optional<milliseconds> retry_after;
+    std::optional<milliseconds> retry_after; ///< empty: no hint when to retry
 };
 
-/// The machine-readable body: {"error":{"code","ran","message","request_id"}}.
+/// The response body: {"error":{"code","ran","message","request_id","retry_after_ms"}}, the last
+/// only if there is a hint.
 std::string to_json(const refusal& it, std::string_view request);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/routing/target.h
+++ b/include/cedarpoint/routing/target.h
@@ -18,10 +18,10 @@
     service_id service;
     epoch assignment; ///< runners that check it refuse requests of another one
     endpoint address;
-    int slots = 1;
+    int slots = 1; ///< requests that it serves at once
     failure_domain_id failure_domain;
-    instant valid_until;     ///< end of the grant: no new work from then on
-    int reported_others = 0; ///< requests there from other daemons, by the last load report
+    instant valid_until;     ///< end of the grant; no new requests from then on
+    int reported_others = 0; ///< requests in flight from other daemons, by the last load report
     bool present = true;
     bool draining = false;
 };
--- a/include/cedarpoint/sessions/session_table.h
+++ b/include/cedarpoint/sessions/session_table.h
@@ -10,18 +10,23 @@
 
 namespace cedarpoint {
 
-/// Which group holds each session's state. Bounded; the longest unused session goes first.
-/// A session belongs to one account: another account's session of the same name is another one.
+/// Remembers which group served each session last, and so holds its state. Owns the table: an LRU
+/// cache of `max_sessions`, without those idle for `idle_limit`. Sessions are per account: equal
+/// names of two accounts are two sessions. Relies on its user to call `expire` now and then.
 class session_table {
 public:
+    /// Not measured.
     static constexpr duration idle_limit = std::chrono::hours{24};
+    /// Not measured.
     static constexpr std::size_t max_sessions = 200'000;
 
+    /// Empty if the session is not known.
     [[nodiscard]] std::optional<group_id> find(const client_account_id& account,
                                                const session_id& session) const;
-    /// Notes where a session was served. True if that moved it from another group.
+    /// Records where a session was served. True if it was served by another group before.
     bool place(instant now, const client_account_id& account, const session_id& session,
                const group_id& group);
+    /// Forgets sessions idle for longer than `idle_limit`.
     void expire(instant now);
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
@@ -33,7 +38,7 @@
     };
 
     std::unordered_map<std::string, entry> entries_;
-    std::list<std::string> order_; ///< longest unused first
+    std::list<std::string> order_; ///< least recently used first
 };
 
 } // namespace cedarpoint
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-/// The revision that a daemon has in force, if it answers.
+/// The revision that a daemon has in force; empty if it does not answer.
 std::optional<std::uint64_t> revision_at(const endpoint& daemon)
 {
     reason why;
@@ -100,7 +100,7 @@
         QThread::msleep(apply_poll_ms);
     }
     for (const auto& it : daemons) {
-        fmt::print(stderr, "not seen in force at {}\n", it.str());
+        fmt::print(stderr, "not confirmed in force at {}\n", it.str());
     }
     if (daemons.empty()) {
         fmt::print("revision {} is in force everywhere\n", revision);
@@ -138,7 +138,7 @@
     for (const auto& name : others) {
         const auto it = endpoint::parse(name);
         if (!it) {
-            fmt::print(stderr, "--also {}: must be an IP number and port\n", name);
+            fmt::print(stderr, "--also {}: must be ip:port\n", name);
             return to_int(exit_code::usage);
         }
         daemons.push_back(*it);
@@ -222,7 +222,7 @@
         return report_refused(what.id, *it);
     }
     fmt::print("{} {} is {}\n", what.kind, what.id,
-               what.draining ? "draining" : "not draining any more");
+               what.draining ? "draining" : "no longer draining");
     return to_int(exit_code::done);
 }
 
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -7,24 +7,31 @@
 
 namespace cedarpoint {
 
-/// What is to be drained or undrained.
+/// What to drain or undrain.
 struct drain_request {
-    std::string kind;
+    std::string kind; ///< "node", "group" or "runner"
     std::string id;
     bool draining = true;
 };
 
-/// One function a subcommand; each returns the process's exit code.
+// One function per subcommand. Each prints its result, errors on standard error, and returns the
+// process's exit code (exit_code.h).
+
 int run_check(const std::string& file);
+/// Waits at most `wait_seconds` (0: not at all) until `daemon` and `others`, each "ip:port", have
+/// the new revision in force.
 int run_apply(const endpoint& daemon, const std::string& file, int wait_seconds,
               const std::vector<std::string>& others);
 int run_plan(const endpoint& daemon, const std::string& file);
 int run_status(const endpoint& daemon, bool as_json);
+/// Prints the status once a second, `rounds` times; 0: until the process is ended.
 int run_watch(const endpoint& daemon, int rounds);
 int run_drain(const endpoint& daemon, const drain_request& what);
 int run_stop(const endpoint& daemon);
 int run_explain(const endpoint& daemon, const std::string& request);
+/// Runs a control or entry daemon until it is stopped.
 int run_fleet(int& argc, char** argv, const std::string& settings_file);
+/// Runs a daemon with a fixed list of peers until it is stopped.
 int run_serve(int& argc, char** argv, const std::string& settings_file);
 
 } // namespace cedarpoint
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// The command line: one subcommand a job.
+// The command line: parses the arguments and runs one subcommand.
 
 #include "cli/commands.h"
 #include "cli/exit_code.h"
@@ -67,13 +67,13 @@
         auto* out = add(name, help, [this, run = std::move(run)] {
             const auto to = endpoint::parse(in_.daemon);
             if (!to) {
-                fmt::print(stderr, "--daemon {}: must be an IP number and port\n", in_.daemon);
+                fmt::print(stderr, "--daemon {}: must be ip:port\n", in_.daemon);
                 return to_int(exit_code::usage);
             }
             QCoreApplication app{argc_, argv_};
             return run(*to);
         });
-        out->add_option("--daemon", in_.daemon, "a daemon's operators' address")
+        out->add_option("--daemon", in_.daemon, "operator listener of a daemon, ip:port")
             ->envname("CEDARPOINT_DAEMON")
             ->capture_default_str();
         return out;
@@ -81,12 +81,13 @@
 
     void add_serve()
     {
-        auto* it =
-            add("serve", "Run one daemon", [this] { return run_serve(argc_, argv_, in_.file); });
+        auto* it = add("serve", "Run a daemon with a fixed list of peers",
+                       [this] { return run_serve(argc_, argv_, in_.file); });
         it->add_option("--settings", in_.file, "the daemon's settings, JSON with comments")
             ->required();
-        auto* fleet = add("fleet", "Run one daemon of a fleet that finds its peers from seeds",
-                          [this] { return run_fleet(argc_, argv_, in_.file); });
+        auto* fleet =
+            add("fleet", "Run a control or entry daemon of a fleet; discovers its peers from seeds",
+                [this] { return run_fleet(argc_, argv_, in_.file); });
         fleet->add_option("--settings", in_.file, "the daemon's settings, JSON with comments")
             ->required();
         add("version", "Print the version", [] {
@@ -97,50 +98,50 @@
 
     void add_files()
     {
-        auto* check = add("check", "Check a settings or declarative file without a daemon",
+        auto* check = add("check", "Validate a settings or declarative file offline",
                           [this] { return run_check(in_.file); });
         check->add_option("file", in_.file, "the file")->required();
         auto* apply =
-            add_call("apply", "Apply a declarative file as a whole", [this](const endpoint& to) {
+            add_call("apply", "Apply a declarative file atomically", [this](const endpoint& to) {
                 return run_apply(to, in_.file, in_.wait_seconds, in_.also);
             });
         apply->add_option("file", in_.file, "the file")->required();
         apply
             ->add_option("--wait", in_.wait_seconds,
-                         "wait up to this many seconds until it is in force")
+                         "wait up to this many seconds until the revision is in force")
             ->check(CLI::Range(0, longest_apply_wait));
-        apply->add_option("--also", in_.also, "further daemons that --wait looks at");
-        auto* plan = add_call("plan", "Show what a declarative file would change; changes nothing",
+        apply->add_option("--also", in_.also, "further daemons for --wait to poll, ip:port");
+        auto* plan = add_call("plan", "Show what a declarative file would change (dry run)",
                               [this](const endpoint& to) { return run_plan(to, in_.file); });
         plan->add_option("file", in_.file, "the file")->required();
     }
 
     void add_views()
     {
-        auto* status = add_call("status", "Groups, nodes, leases and the revision in force",
+        auto* status = add_call("status", "Show groups, nodes, leases and the revision in force",
                                 [this](const endpoint& to) { return run_status(to, in_.json); });
         status->add_flag("--json", in_.json, "as JSON");
-        auto* top = add_call("top", "Status, again every second",
+        auto* top = add_call("top", "Show the status and refresh it every second",
                              [this](const endpoint& to) { return run_watch(to, in_.rounds); });
-        top->add_option("--rounds", in_.rounds, "stop after this many; 0: never")
+        top->add_option("--rounds", in_.rounds, "refreshes before it exits; 0: no limit")
             ->check(CLI::NonNegativeNumber);
-        auto* explain = add_call("explain", "The decisions taken for one request",
+        auto* explain = add_call("explain", "Show the routing decisions for one request",
                                  [this](const endpoint& to) { return run_explain(to, in_.id); });
         explain->add_option("request", in_.id, "the id from the Cedarpoint-Request-Id header")
             ->required();
-        add_call("stop", "Stop a daemon as planned: it finishes what runs",
+        add_call("stop", "Stop a daemon gracefully: requests in flight finish first",
                  [](const endpoint& to) { return run_stop(to); });
     }
 
     void add_drains()
     {
         for (const bool draining : {true, false}) {
-            auto* it =
-                add_call(draining ? "drain" : "undrain",
-                         draining ? "Take a node, group or runner out of use" : "Take back a drain",
-                         [this, draining](const endpoint& to) {
-                             return run_drain(to, {in_.kind, in_.id, draining});
-                         });
+            auto* it = add_call(draining ? "drain" : "undrain",
+                                draining ? "Drain a node, group or runner: no new requests"
+                                         : "Undo a drain",
+                                [this, draining](const endpoint& to) {
+                                    return run_drain(to, {in_.kind, in_.id, draining});
+                                });
             it->add_option("kind", in_.kind, "node, group or runner")
                 ->required()
                 ->check(CLI::IsMember({"node", "group", "runner"}));
@@ -150,7 +151,7 @@
 
     int& argc_;
     char** argv_;
-    CLI::App app_{"Cedarpoint serves models whose replicas span several nodes"};
+    CLI::App app_{"Cedarpoint: serves models whose replicas span several nodes"};
     arguments in_;
     std::function<int()> chosen_;
 };
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -10,18 +10,20 @@
 
 namespace cedarpoint {
 
-/// A daemon's answer to an operator's call.
+/// A daemon's response to an operator's call.
 struct operator_answer {
-    int status = 0;
-    nlohmann::json body;
+    int status = 0;      ///< HTTP
+    nlohmann::json body; ///< a string if it is not JSON
 };
 
-/// Calls a daemon's operators' listener and waits. Every call may be repeated without harm, so it
-/// does not matter that the library may send one twice.
+/// Blocking HTTP client for a daemon's operator listener. Owns only the address. Relies on every
+/// call being idempotent, since Qt may send one twice, and on an application object. Sends the key
+/// in CEDARPOINT_OPERATOR_KEY, if set.
 class operator_client {
 public:
     explicit operator_client(endpoint daemon) : daemon_{std::move(daemon)} {}
 
+    /// Empty if no response came; `why` then says what failed. An error status is a response.
     std::optional<operator_answer> get(const std::string& path, reason& why) const;
     std::optional<operator_answer> post(const std::string& path, const std::string& body,
                                         reason& why) const;
--- a/src/cli/process_signals.h
+++ b/src/cli/process_signals.h
@@ -7,14 +7,16 @@
 
 namespace cedarpoint {
 
-/// Signals of this process as events of its loop. Make it before any thread is started.
+/// Turns signals of this process into events of its Qt loop. Owns the signalfd and its notifier.
+/// Construct it before any thread starts: the signals are blocked for threads started later.
 class process_signals {
 public:
     process_signals();
 
     std::function<void()> on_stop;   ///< SIGTERM, SIGINT
     std::function<void()> on_reload; ///< SIGHUP
-    /// Starts reporting; needs an application object.
+    /// Starts reporting; needs an application object. Set the handlers first: without `on_reload`,
+    /// SIGHUP ends the process.
     void attach();
 
 private:
--- a/src/cli/status_view.h
+++ b/src/cli/status_view.h
@@ -5,7 +5,7 @@
 
 namespace cedarpoint {
 
-/// A status answer as a table for people.
+/// The body of /v1/status as text: the daemon, its requests, its logs, groups and nodes.
 std::string show_status(const nlohmann::json& status);
 
 } // namespace cedarpoint
