--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -131,6 +131,10 @@
     void send(const daemon_id& to, wire::envelope envelope);
     void add_group_targets(instant now, const group_record& it, instant valid_until,
                            const failure_domain_id& home, target_table& out) const;
+    /// Requests at a target by the latest report, from all daemons.
+    [[nodiscard]] int reported_in_flight(const target& it) const;
+    void add_service_targets(instant own_until, target_table& out) const;
+    void set_service_grant(instant own_until, target& place) const;
 
     options options_;
     control_hooks hooks_;
--- a/include/cedarpoint/groups/group_controller.h
+++ b/include/cedarpoint/groups/group_controller.h
@@ -100,6 +100,10 @@
     void look_at_serving(const context& in, const group_record& it, control_step& out);
     void look_at_draining(const context& in, const group_record& it, control_step& out);
     void look_at_ended(const context& in, const group_record& it, control_step& out);
+    /// Groups that are declared and have no nodes.
+    [[nodiscard]] std::vector<placement_need> find_missing(const context& in) const;
+    /// Nodes that a group could get.
+    [[nodiscard]] static free_nodes find_free_nodes(const context& in);
     void place_missing(const context& in, control_step& out) const;
     void order_members(const context& in, const group_record& it, bool load, control_step& out);
     [[nodiscard]] std::string why_lost(const context& in, const group_record& it) const;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -82,17 +82,9 @@
     }
 }
 
-} // namespace
-
-std::optional<settings> settings::parse(std::string_view text, faults& out)
+/// Who the daemon is, where it listens, and what it stores.
+void read_identity(json_reader& in, settings& it)
 {
-    const auto before = out.size();
-    const auto value = parse_json(text, out);
-    if (!value) {
-        return {};
-    }
-    settings it;
-    json_reader in{*value, "", out};
     it.id = daemon_id{in.string("id")};
     it.failure_domain = failure_domain_id{in.string("failure_domain")};
     it.callers = read_endpoint(in, "callers");
@@ -108,6 +100,11 @@
     if (!it.operator_key_sha256.empty() && !is_sha256_hex(it.operator_key_sha256)) {
         in.fail("operator_key_sha256", "must be 64 lower-case hex digits: the SHA-256 of the key");
     }
+}
+
+/// Limits, times and keys.
+void read_behaviour(json_reader& in, settings& it)
+{
     it.json_logs = in.boolean_or("json_logs", false);
     in.object("limits", [&](json_reader& e) { read_limits(e, it.limits); });
     it.stop_bound = read_ms(in, "stop_bound_ms", it.stop_bound, {0, 86'400'000});
@@ -115,6 +112,21 @@
     it.grant_ttl = read_ms(in, "grant_ttl_ms", it.grant_ttl, {300, 60'000});
     it.curve_secret_file = in.string_or("curve_secret_file", "");
     it.curve_public_key = in.string_or("curve_public_key", "");
+}
+
+} // namespace
+
+std::optional<settings> settings::parse(std::string_view text, faults& out)
+{
+    const auto before = out.size();
+    const auto value = parse_json(text, out);
+    if (!value) {
+        return {};
+    }
+    settings it;
+    json_reader in{*value, "", out};
+    read_identity(in, it);
+    read_behaviour(in, it);
     read_peers(in, it);
     in.finish();
     if (it.curve_secret_file.empty() != it.curve_public_key.empty()) {
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -117,29 +117,38 @@
                                     const std::function<int(const runner_id&)>& own_in_flight) const
 {
     target_table out;
-    const duration ttl = options_.own.grant_ttl;
-    const auto& state = domain_->state;
-    const auto grant = granted_at(now);
-    const auto until = grant ? *grant + ttl : instant{};
-    for (const auto& [id, it] : state.groups().records()) {
-        add_group_targets(now, it, until, options_.own.failure_domain, out);
+    const auto valid_until = [&](const std::optional<instant>& grant) {
+        return grant ? *grant + options_.own.grant_ttl : instant{};
+    };
+    const auto own_until = valid_until(granted_at(now));
+    for (const auto& [id, it] : domain_->state.groups().records()) {
+        add_group_targets(now, it, own_until, options_.own.failure_domain, out);
     }
     for (const auto& [domain, view] : others_.all()) {
         for (const auto& it : view.groups) {
-            add_group_targets(now, it, view.granted ? *view.granted + ttl : instant{}, domain, out);
+            add_group_targets(now, it, valid_until(view.granted), domain, out);
         }
     }
     for (auto& it : out) {
-        const auto report = watch_.report_of(it.upstream);
-        const auto found = others_.all().find(it.failure_domain);
-        int total = report ? report->in_flight : 0;
-        if (found != others_.all().end()) {
-            const auto load = found->second.in_flight.find(it.upstream);
-            total = load == found->second.in_flight.end() ? 0 : load->second;
-        }
-        it.reported_others = std::max(0, total - own_in_flight(it.upstream));
+        it.reported_others = std::max(0, reported_in_flight(it) - own_in_flight(it.upstream));
+    }
+    add_service_targets(own_until, out);
+    return out;
+}
+
+int control_plane::reported_in_flight(const target& it) const
+{
+    if (const auto other = others_.all().find(it.failure_domain); other != others_.all().end()) {
+        const auto load = other->second.in_flight.find(it.upstream);
+        return load == other->second.in_flight.end() ? 0 : load->second;
     }
-    for (const auto& service : state.config()->services) {
+    const auto report = watch_.report_of(it.upstream);
+    return report ? report->in_flight : 0;
+}
+
+void control_plane::add_service_targets(instant own_until, target_table& out) const
+{
+    for (const auto& service : domain_->state.config()->services) {
         for (const auto& it : service.upstreams) {
             target place;
             place.upstream = it.id;
@@ -147,19 +156,24 @@
             place.address = it.address;
             place.slots = it.slots;
             place.failure_domain = it.failure_domain;
-            const auto found = others_.all().find(it.failure_domain);
-            if (it.failure_domain == options_.own.failure_domain) {
-                place.valid_until = until;
-                place.draining = state.drains().runners.contains(it.id);
-            }
-            else if (found != others_.all().end() && found->second.granted) {
-                place.valid_until = *found->second.granted + ttl;
-                place.draining = found->second.drains.runners.contains(it.id);
-            }
+            set_service_grant(own_until, place);
             out.push_back(std::move(place));
         }
     }
-    return out;
+}
+
+void control_plane::set_service_grant(instant own_until, target& place) const
+{
+    if (place.failure_domain == options_.own.failure_domain) {
+        place.valid_until = own_until;
+        place.draining = domain_->state.drains().runners.contains(place.upstream);
+        return;
+    }
+    const auto other = others_.all().find(place.failure_domain);
+    if (other != others_.all().end() && other->second.granted) {
+        place.valid_until = *other->second.granted + options_.own.grant_ttl;
+        place.draining = other->second.drains.runners.contains(place.upstream);
+    }
 }
 
 } // namespace cedarpoint
--- /dev/null
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -0,0 +1,210 @@
+// How a control daemon is put together, starts and stops.
+
+#include "control_daemon/control_daemon.h"
+
+#include "io/clock.h"
+#include "io/log_line.h"
+#include "io/simple_listeners.h"
+
+#include <random>
+#include <utility>
+
+namespace cedarpoint {
+namespace {
+
+/// Time between two ticks. Not measured.
+constexpr int tick_ms = 20;
+/// A leader is elected 0.5 to 1 s after the old one fell silent: the round "elections within 0.5 to
+/// 1 s" (Potting Shed 0.855 -> 0.869), after a day without a leader for 2.2 s (inc-a6e6).
+constexpr duration election_timeout = milliseconds{500};
+/// Between two heartbeats of the log's leader; of the same round.
+constexpr duration raft_heartbeat = milliseconds{100};
+/// Connections of operators and runners at a time. Not measured.
+constexpr std::size_t most_api_connections = 1500;
+/// Of a declarative document; the largest seen has 260 KB with 900 routes.
+constexpr std::size_t most_api_body = 16 << 20;
+/// The log's folder, and its name in messages.
+constexpr const char* log_name = "fleet";
+
+caller_limits api_limits()
+{
+    caller_limits out;
+    out.max_connections = most_api_connections;
+    out.max_body_bytes = most_api_body;
+    return out;
+}
+
+planner_options planner_options_of(const fleet_settings& own)
+{
+    planner_options out;
+    out.heartbeat = own.heartbeat;
+    out.stall = own.stall;
+    // Every runner has sent a heartbeat by then, and half an interval is left for its way.
+    out.settle = own.heartbeat * 3 / 2;
+    return out;
+}
+
+/// The ids of the daemons at the seeds: all daemons use the same port for each other.
+std::vector<daemon_id> seed_daemons(const fleet_settings& own)
+{
+    std::vector<daemon_id> out;
+    for (const auto& seed : own.seeds) {
+        out.emplace_back(endpoint{seed.ip, own.address.port}.str());
+    }
+    return out;
+}
+
+void log_group(const plan_event& event)
+{
+    log_line("placement")
+        .with("group", event.group.str())
+        .with("phase", name_of(event.phase))
+        .with("reason", event.reason)
+        .with("members", event.members)
+        .write();
+}
+
+void log_unreadable(std::uint64_t version, const reason& why)
+{
+    log_line("configuration_unreadable").with("version", version).with("reason", why.str()).write();
+}
+
+} // namespace
+
+control_daemon::control_daemon(fleet_settings own)
+    : own_{std::move(own)}, id_{own_.address.str()}, platform_{installed_platform()},
+      leader_{planner_options_of(own_), platform_, state_}, provisional_views_{platform_, state_},
+      mesh_{[this](const wire::envelope& in) { receive(in); }}
+{
+    leader_.set_event_handler(log_group);
+    leader_.on_unreadable_configuration = log_unreadable;
+}
+
+control_daemon::~control_daemon() = default;
+
+std::unique_ptr<control_daemon> control_daemon::start(fleet_settings own, reason& why)
+{
+    std::unique_ptr<control_daemon> out{new control_daemon{std::move(own)}};
+    if (!out->open(why)) {
+        return {};
+    }
+    return out;
+}
+
+bool control_daemon::open(reason& why)
+{
+    open_orders();
+    open_api();
+    if (!open_log(why) || !mesh_.start_open(own_.bind.value_or(own_.address), why) ||
+        !open_listeners(why)) {
+        return false;
+    }
+    QObject::connect(&timer_, &QTimer::timeout, [this] { tick(); });
+    timer_.start(tick_ms);
+    log_line("started")
+        .with("role", "control")
+        .with("name", own_.name)
+        .with("id", id_.str())
+        .with("first_start", own_.first_start)
+        .with("version", state_.version())
+        .with("term", log_->raft().term())
+        .write();
+    return true;
+}
+
+replicated_log::options control_daemon::make_log_options() const
+{
+    replicated_log::options out;
+    out.self = member_id{id_.str()};
+    out.raft.election_timeout = election_timeout;
+    out.raft.heartbeat = raft_heartbeat;
+    out.raft.start = own_.first_start ? start_mode::first : start_mode::later;
+    out.seed = std::random_device{}();
+    if (own_.first_start) {
+        for (const auto& seed : seed_daemons(own_)) {
+            auto* member = out.bootstrap.add_members();
+            member->set_id(seed.str());
+            member->set_voter(true);
+        }
+    }
+    return out;
+}
+
+bool control_daemon::open_log(reason& why)
+{
+    const auto send_raft = [this](const member_id& to, const wire::raft_message& message) {
+        wire::envelope out;
+        out.mutable_raft()->set_log(log_name);
+        *out.mutable_raft()->mutable_message() = message;
+        send(daemon_id{to.str()}, std::move(out));
+    };
+    const auto folder = own_.data_folder + "/" + log_name;
+    log_ = replicated_log::open(steady_now(), make_log_options(), &files_, folder, state_,
+                                send_raft, why);
+    if (log_ == nullptr) {
+        return false;
+    }
+    membership_ = std::make_unique<log_membership>(
+        log_membership::options{id_, seed_daemons(own_), log_name,
+                                voters_for(own_.tolerated_losses)},
+        *log_, [this](const daemon_id& to, wire::envelope out) { send(to, std::move(out)); });
+    return true;
+}
+
+void control_daemon::open_orders()
+{
+    runner_orders::hooks hooks;
+    hooks.on_order_end = [this](const group_order& order, order_result result) {
+        on_order_end(order, result);
+    };
+    hooks.on_probe_answered = [this](const runner_id& runner) {
+        leader_.on_probe_answered(steady_now(), runner);
+    };
+    hooks.on_probe_failed = [this](const runner_id& runner, probe_failure how) {
+        on_probe_failed(runner, how);
+    };
+    orders_ = std::make_unique<runner_orders>(platform_, std::move(hooks));
+}
+
+void control_daemon::open_api()
+{
+    control_api::hooks hooks;
+    hooks.leads = [this] { return has_begun_to_lead(steady_now()); };
+    hooks.is_ready = [this] { return is_ready(steady_now()); };
+    hooks.leader = [this] { return leader_api(); };
+    hooks.propose = [this](std::string command, replicated_log::answer_handler done) {
+        return log_->propose(steady_now(), std::move(command), std::move(done));
+    };
+    hooks.on_committed = [this] { push_view(steady_now()); };
+    api_ = std::make_unique<control_api>(platform_, state_, leader_, metrics_, std::move(hooks));
+}
+
+bool control_daemon::open_listeners(reason& why)
+{
+    api_listener_ = std::make_unique<http_listener>(
+        api_limits(), [this](const http_request& request, const reply_ptr& reply) {
+            api_->on_call(request, reply);
+        });
+    if (!api_listener_->start(*own_.control, why)) {
+        return false;
+    }
+    if (!own_.metrics) {
+        return true;
+    }
+    metrics_listener_ = make_metrics_listener([this] { return metrics_.text(); });
+    return metrics_listener_->start(*own_.metrics, why);
+}
+
+void control_daemon::stop()
+{
+    if (stopping_) {
+        return;
+    }
+    stopping_ = true;
+    log_line("stopping").with("leads", leads(steady_now())).write();
+    timer_.stop();
+    log_line("stopped").write();
+    on_stopped(0);
+}
+
+} // namespace cedarpoint
--- /dev/null
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -0,0 +1,190 @@
+// The way of a runner's answer to the caller: whole, event by event, or as it comes.
+
+#include "daemon/caller_gateway.h"
+
+#include "daemon/engine_headers.h"
+#include "io/clock.h"
+#include "io/header_rules.h"
+#include "io/http_status.h"
+#include "io/log_line.h"
+
+#include <utility>
+
+namespace cedarpoint {
+namespace {
+
+/// Bytes of an answer that is kept until it is whole; larger ones are passed on as they come. Not
+/// measured; docs/API.md promises it.
+constexpr std::size_t max_whole_answer = 16 << 20;
+constexpr int first_server_error = 500;
+
+/// A runner's head without what is between it and cedarpoint.
+http_head head_for_caller(const http_head& from, const request_id& request)
+{
+    http_head out{from.status, {}};
+    for (const auto& [name, value] : from.fields.all()) {
+        if (!is_hop_by_hop(name) && !is_private_header(name)) {
+            out.fields.add(name, value);
+        }
+    }
+    out.fields.add(caller_header::request, request.str());
+    return out;
+}
+
+} // namespace
+
+void caller_gateway::on_head(attempt_id id, const http_head& head)
+{
+    auto& it = attempts_.at(id.value);
+    it.head = head;
+    const auto echoed = head.fields.get(engine_header::attempt);
+    const auto own = it.request.str() + "/" + std::to_string(id.value);
+    if (!echoed.empty() && echoed != own) {
+        it.call->cancel();
+        on_end(id, call_end::cut, {"answer", it.upstream.str(), "it is another request's answer"});
+        return;
+    }
+    if (head.fields.has(engine_header::not_run)) {
+        it.call->cancel();
+        retire(id);
+        perform(core_.attempt_ended(steady_now(), id, attempt_end::refused));
+        return;
+    }
+    if (head.status >= first_server_error && core_.wants_server_error(id)) {
+        it.call->cancel();
+        retire(id);
+        perform(core_.attempt_ended(steady_now(), id, attempt_end::server_error));
+        return;
+    }
+    const auto& to = exchanges_.at(it.request);
+    if (to.streamed && head.status == http_status::ok && is_event_stream(head)) {
+        it.events = std::make_unique<sse_splitter>();
+    }
+    else if (to.reply->has_begun()) {
+        it.call->cancel();
+        on_end(id, call_end::cut,
+               {"resume", it.upstream.str(), "the runner did not go on with the stream"});
+    }
+}
+
+void caller_gateway::begin_answer(attempt_id id, const attempt& it, exchange& to)
+{
+    if (to.reply->has_begun()) {
+        return;
+    }
+    core_.attempt_answering(id);
+    auto head = head_for_caller(it.head, it.request);
+    to.reply->begin(std::move(head));
+}
+
+void caller_gateway::on_body(attempt_id id, std::string bytes)
+{
+    auto& it = attempts_.at(id.value);
+    auto& to = exchanges_.at(it.request);
+    if (it.events != nullptr) {
+        relay_events(id, it, to, bytes);
+    }
+    else {
+        relay_plain(id, it, to, std::move(bytes));
+    }
+}
+
+void caller_gateway::relay_events(attempt_id id, attempt& it, exchange& to,
+                                  const std::string& bytes)
+{
+    std::string whole;
+    const bool fine = it.events->put(bytes, [&](std::string_view event) {
+        whole.append(event);
+        core_.attempt_event(id);
+        figures_.count_event();
+        it.finished = it.finished || is_done_event(event);
+    });
+    if (!whole.empty()) {
+        begin_answer(id, it, to);
+        to.reply->write(whole);
+        hold_back(it, to);
+    }
+    if (!fine) {
+        it.call->cancel();
+        on_end(id, call_end::cut, {"answer", it.upstream.str(), "an event is too large"});
+    }
+}
+
+void caller_gateway::relay_plain(attempt_id id, attempt& it, exchange& to, std::string bytes)
+{
+    if (!it.relaying) {
+        it.kept += bytes;
+        if (it.kept.size() <= max_whole_answer) {
+            return;
+        }
+        it.relaying = true;
+        bytes = std::exchange(it.kept, {});
+        begin_answer(id, it, to);
+    }
+    to.reply->write(bytes);
+    hold_back(it, to);
+}
+
+void caller_gateway::hold_back(attempt& it, const exchange& to)
+{
+    if (to.reply->buffered() > own_.limits.max_buffered_bytes) {
+        it.call->pause();
+    }
+}
+
+void caller_gateway::on_end(attempt_id id, call_end how, const reason& why)
+{
+    auto& it = attempts_.at(id.value);
+    const bool torn = it.events != nullptr && it.events->has_rest() && !it.finished;
+    const bool whole = (how == call_end::complete && !torn) || it.finished;
+    if (whole) {
+        finish(id, it);
+        return;
+    }
+    log_line("upstream_failed")
+        .with("request", it.request.str())
+        .with("upstream", it.upstream.str())
+        .with("step", why.step)
+        .with("peer", why.peer)
+        .with("reason", why.text)
+        .write();
+    if (it.relaying) {
+        // Part of a body without events is out: breaking the connection is how HTTP says "cut".
+        const auto request = it.request;
+        const auto reply = exchanges_.at(request).reply;
+        reply->on_gone = nullptr;
+        reply->abort();
+        exchanges_.erase(request);
+        retire(id);
+        perform(core_.caller_gone(steady_now(), request)); // nothing more can be told to it
+        return;
+    }
+    retire(id);
+    const auto end = how == call_end::unsent ? attempt_end::unsent : attempt_end::cut;
+    perform(core_.attempt_ended(steady_now(), id, end));
+}
+
+void caller_gateway::finish(attempt_id id, attempt& it)
+{
+    auto& to = exchanges_.at(it.request);
+    const auto reply = to.reply;
+    reply->on_gone = nullptr;
+    reply->on_drained = nullptr;
+    if (it.events != nullptr) {
+        begin_answer(id, it, to);
+        reply->finish();
+    }
+    else if (it.relaying) {
+        reply->finish();
+    }
+    else {
+        auto head = head_for_caller(it.head, it.request);
+        reply->send(std::move(head), it.kept);
+    }
+    it.call->cancel();
+    exchanges_.erase(it.request);
+    retire(id);
+    perform(core_.attempt_ended(steady_now(), id, attempt_end::complete));
+}
+
+} // namespace cedarpoint
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -81,17 +81,36 @@
     return mesh_->start(own_, secret, why);
 }
 
-bool daemon::open(reason& why)
+control_hooks daemon::make_control_hooks()
 {
-    control_hooks hooks;
-    hooks.send = [this](const daemon_id& to, const wire::envelope& it) {
+    control_hooks out;
+    out.send = [this](const daemon_id& to, const wire::envelope& it) {
         if (mesh_ != nullptr) {
             mesh_->send(to, it);
         }
     };
-    hooks.order = [this](const runner_order& it) { runners_->order(it); };
-    hooks.log = log_group;
-    hooks.wall_ms = wall_ms;
+    out.order = [this](const runner_order& it) { runners_->order(it); };
+    out.log = log_group;
+    out.wall_ms = wall_ms;
+    return out;
+}
+
+caller_gateway::hooks daemon::make_gateway_hooks()
+{
+    caller_gateway::hooks out;
+    out.is_ready = [this] { return is_ready(); };
+    out.ask_claim_of = [this](const ask_claim& ask) {
+        control_->begin_claim(
+            steady_now(), ask, [this, request = ask.request](claim_verdict verdict) {
+                gateway_->perform(dispatcher_.claim_answered(steady_now(), request, verdict));
+            });
+    };
+    out.end_claim_of = [this](const end_claim& end) { control_->finish_claim(steady_now(), end); };
+    return out;
+}
+
+bool daemon::open_control(reason& why)
+{
     control_plane::options options;
     options.own = own_;
     options.seed = random_seed();
@@ -100,23 +119,18 @@
         std::make_unique<runner_client>([this](const runner_id& id, const runner_report& it) {
             control_->on_report(steady_now(), id, it);
         });
-    control_ = control_plane::open(steady_now(), std::move(options), files, std::move(hooks), why);
-    if (control_ == nullptr || !open_mesh(why)) {
+    control_ =
+        control_plane::open(steady_now(), std::move(options), files, make_control_hooks(), why);
+    return control_ != nullptr;
+}
+
+bool daemon::open(reason& why)
+{
+    if (!open_control(why) || !open_mesh(why)) {
         return false;
     }
-    caller_gateway::hooks gateway_hooks;
-    gateway_hooks.is_ready = [this] { return is_ready(); };
-    gateway_hooks.ask_claim_of = [this](const ask_claim& ask) {
-        control_->begin_claim(
-            steady_now(), ask, [this, request = ask.request](claim_verdict verdict) {
-                gateway_->perform(dispatcher_.claim_answered(steady_now(), request, verdict));
-            });
-    };
-    gateway_hooks.end_claim_of = [this](const end_claim& end) {
-        control_->finish_claim(steady_now(), end);
-    };
     gateway_ = std::make_unique<caller_gateway>(own_, dispatcher_, decisions_, figures_,
-                                                std::move(gateway_hooks));
+                                                make_gateway_hooks());
     operators_ = std::make_unique<operator_api>(*this);
     if (!gateway_->start(own_.callers, why) || !operators_->start(own_.operators, why)) {
         return false;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -44,7 +44,10 @@
 private:
     explicit daemon(settings own);
     bool open(reason& why);
+    bool open_control(reason& why);
     bool open_mesh(reason& why);
+    [[nodiscard]] control_hooks make_control_hooks();
+    [[nodiscard]] caller_gateway::hooks make_gateway_hooks();
     void tick();
     void refresh_view();
     void refresh_metrics();
--- /dev/null
+++ b/src/entry/relay_answers.cpp
@@ -0,0 +1,142 @@
+// The final answer of a request: a runner's, this daemon's own, or a break.
+
+#include "entry/relay.h"
+
+#include "io/clock.h"
+#include "io/header_rules.h"
+#include "io/http_status.h"
+#include "io/log_line.h"
+
+#include <fmt/format.h>
+
+namespace cedarpoint {
+
+void relay::deliver()
+{
+    const auto since_arrival = steady_now() - arrived_;
+    if (begun_) {
+        reply_->finish();
+    }
+    else {
+        reply_->send(without_hop_by_hop(attempt_->head()), attempt_->body());
+        context_.metrics.observe_first_byte(since_arrival);
+    }
+    context_.metrics.observe_whole(since_arrival);
+    finish("served", "");
+}
+
+void relay::give_up(const std::string& why)
+{
+    give_up_facts known;
+    known.has_begun = begun_;
+    known.has_failure = failure_.has_value();
+    known.failure_status = failure_ ? failure_->status : 0;
+    known.may_have_run = facts_.may_have_run;
+    known.is_repeatable = is_repeatable(facts_);
+    switch (choose_final_answer(known)) {
+    case final_answer::break_off:
+        break_off(why);
+        return;
+    case final_answer::pass_failure:
+        pass_failure(why);
+        return;
+    case final_answer::not_run:
+        if (!admission_.model.empty()) {
+            ++context_.demand[admission_.model].rejected;
+        }
+        answer(own_answer::not_run, why);
+        return;
+    case final_answer::unknown:
+        answer(own_answer::outcome_unknown, why);
+        return;
+    }
+}
+
+void relay::pass_failure(const std::string& why)
+{
+    reply_->send(without_hop_by_hop(*failure_), failure_body_);
+    finish("failed_at_runner", why);
+}
+
+void relay::break_off(const std::string& why)
+{
+    reply_->abort();
+    finish("broken_off", why);
+}
+
+void relay::answer(own_answer kind, const std::string& why)
+{
+    const auto& shape = shape_of(kind);
+    http_head head{shape.status, {}};
+    head.fields.add(context_.platform.headers().request_id, id_);
+    head.fields.add("Content-Type", "application/json");
+    if (shape.invites_retry) {
+        head.fields.add("Retry-After", std::string{retry_after_seconds});
+    }
+    reply_->send(std::move(head), fmt::format("{{\"error\":\"{}\"}}", shape.wire_text));
+    const bool refused = shape.status == http_status::service_unavailable;
+    finish(refused ? "refused" : "rejected", why.empty() ? shape.log_cause : why);
+}
+
+void relay::on_caller_gone()
+{
+    if (ended_) {
+        return;
+    }
+    const auto self = shared_from_this();
+    abandon_attempt();
+    finish("caller_gone", "");
+}
+
+void relay::on_deadline()
+{
+    if (ended_) {
+        return;
+    }
+    const auto self = shared_from_this();
+    abandon_attempt();
+    if (begun_) {
+        break_off("deadline exceeded");
+    }
+    else {
+        answer(facts_.may_have_run ? own_answer::expired : own_answer::expired_unrun, "");
+    }
+}
+
+void relay::finish(const char* outcome, std::string_view cause)
+{
+    if (ended_) {
+        return;
+    }
+    ended_ = true;
+    deadline_timer_.stop();
+    reply_->on_gone = nullptr;
+    reply_->on_drained = nullptr;
+    // What follows a colon names a peer: as a label it would make a series for each.
+    context_.metrics.count_end(outcome, std::string{cause.substr(0, cause.find(':'))});
+    log_line{"request"}
+        .with("id", id_)
+        .with("outcome", outcome)
+        .with("cause", cause)
+        .with("route", admission_.route != nullptr ? admission_.route->name : "")
+        .with("runner", attempt_ != nullptr ? attempt_->runner().str() : "")
+        .with("group", attempt_ != nullptr ? attempt_->group().str() : "")
+        .with("sent", facts_.sent)
+        .with("ms", to_ms(steady_now() - arrived_))
+        .with("config", routes_ != nullptr ? routes_->version() : 0)
+        .write();
+    on_end_(shared_from_this());
+}
+
+void relay::log_attempt(const attempt_verdict& verdict) const
+{
+    log_line{"attempt"}
+        .with("id", id_)
+        .with("outcome", name_of(verdict.outcome))
+        .with("runner", attempt_->runner().str())
+        .with("group", attempt_->group().str())
+        .with("why", verdict.why)
+        .write();
+}
+
+} // namespace cedarpoint
--- a/src/groups/group_controller.cpp
+++ b/src/groups/group_controller.cpp
@@ -251,24 +251,23 @@
     }
 }
 
-void group_controller::place_missing(const context& in, control_step& out) const
+std::vector<placement_need> group_controller::find_missing(const context& in) const
 {
-    placement_view view{in.config, in.groups, {}, {}};
-    int loading = 0;
-    for (const auto& [id, it] : in.groups.records()) {
-        loading += it.state == group_state::loading ? 1 : 0;
-    }
+    std::vector<placement_need> out;
     for (const auto& pool : in.config.pools) {
         for (int n = 0; n < pool.count && pool.failure_domain == options_.domain; ++n) {
             const auto id = group_of(pool.id, n);
             if (in.groups.find(id) == nullptr && !in.drains.groups.contains(id)) {
-                view.needs.push_back({&pool, id});
+                out.push_back({&pool, id});
             }
         }
     }
-    if (view.needs.empty() || loading >= options_.loads_at_once) {
-        return;
-    }
+    return out;
+}
+
+free_nodes group_controller::find_free_nodes(const context& in)
+{
+    free_nodes out;
     for (const auto& node : in.config.nodes) {
         const auto* runner = in.config.find_runner_on(node.id);
         const auto report = runner == nullptr ? std::nullopt : in.watch.report_of(runner->id);
@@ -277,16 +276,30 @@
                             !in.drains.runners.contains(runner->id) &&
                             in.groups.find_by_node(node.id) == nullptr;
         if (usable) {
-            view.spare[node.fabric_domain].push_back(node.id);
+            out[node.fabric_domain].push_back(node.id);
         }
     }
+    return out;
+}
+
+void group_controller::place_missing(const context& in, control_step& out) const
+{
+    const auto& records = in.groups.records();
+    auto loading = std::count_if(records.begin(), records.end(), [](const auto& each) {
+        return each.second.state == group_state::loading;
+    });
+    const auto needs = find_missing(in);
+    if (needs.empty() || loading >= options_.loads_at_once) {
+        return;
+    }
+    const placement_view view{in.config, in.groups, find_free_nodes(in), needs};
     for (auto& choice : placement_->place(view)) {
         if (loading++ >= options_.loads_at_once) {
             return;
         }
-        const auto need =
-            std::find_if(view.needs.begin(), view.needs.end(),
-                         [&](const placement_need& e) { return e.group == choice.group; });
+        const auto need = std::find_if(needs.begin(), needs.end(), [&](const placement_need& e) {
+            return e.group == choice.group;
+        });
         auto record = blank_record(*need->pool, choice.group);
         record.nodes = std::move(choice.nodes);
         out.proposals.push_back(
