--- a/include/cedarpoint/fleet/group_placement.h
+++ b/include/cedarpoint/fleet/group_placement.h
@@ -22,7 +22,7 @@
 };
 
 /// Chooses which free runners form which group next. A group lies in one fabric domain: groups over
-/// several were tried twice and broke rule TWO (docs/NEW-MACHINES.md). Its members are those that
+/// several were tried twice and broke rule TWO (docs/DESIGN.md). Its members are those that
 /// join soonest.
 ///
 /// Before the first request weights are loaded while groups form. Once there is traffic no group
