--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -8,6 +8,7 @@
 #include "cli/operator_client.h"
 #include "cli/settings_file.h"
 #include "cli/status_view.h"
+#include "io/http_status.h"
 
 #include <QThread>
 
@@ -19,9 +20,6 @@
 
 using json = nlohmann::json;
 
-constexpr int ok_status = 200;
-constexpr int unavailable_status = 503;
-
 // How often a daemon is asked. Not measured.
 constexpr unsigned long apply_poll_ms = 100;  ///< until a revision is in force
 constexpr unsigned long watch_poll_ms = 1000; ///< for a new status
@@ -45,7 +43,8 @@
     else {
         fmt::print(stderr, "refused: {}\n", it.body.dump());
     }
-    return to_int(it.status == unavailable_status ? exit_code::unreachable : exit_code::refused);
+    return to_int(it.status == http_status::service_unavailable ? exit_code::unreachable
+                                                                : exit_code::refused);
 }
 
 /// The kinds of file that `check` knows.
@@ -81,7 +80,7 @@
 {
     reason why;
     const auto it = operator_client{daemon}.get("/v1/status", why);
-    if (!it || it->status != ok_status) {
+    if (!it || it->status != http_status::ok) {
         return {};
     }
     return it->body.value("revision", std::uint64_t{0});
@@ -148,7 +147,7 @@
     if (!it) {
         return report_unreachable(why);
     }
-    if (it->status != ok_status) {
+    if (it->status != http_status::ok) {
         return report_refused(file, *it);
     }
     const auto revision = it->body.value("revision", std::uint64_t{0});
@@ -168,7 +167,7 @@
     if (!it) {
         return report_unreachable(why);
     }
-    if (it->status != ok_status) {
+    if (it->status != http_status::ok) {
         return report_refused(file, *it);
     }
     for (const auto& line : it->body["changes"]) {
@@ -218,7 +217,7 @@
     if (!it) {
         return report_unreachable(why);
     }
-    if (it->status != ok_status) {
+    if (it->status != http_status::ok) {
         return report_refused(what.id, *it);
     }
     fmt::print("{} {} is {}\n", what.kind, what.id,
@@ -244,7 +243,7 @@
     if (!it) {
         return report_unreachable(why);
     }
-    if (it->status != ok_status) {
+    if (it->status != http_status::ok) {
         return report_refused(request, *it);
     }
     for (const auto& one : it->body["decisions"]) {
--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -12,6 +12,7 @@
 namespace cedarpoint {
 namespace {
 
+// A replica spans 4 to 32 nodes, as the users have it.
 constexpr int min_group_nodes = 4;
 constexpr int max_group_nodes = 32;
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -12,10 +12,14 @@
 namespace cedarpoint {
 namespace {
 
+/// Time between two ticks. Not measured.
 constexpr int tick_ms = 20;
+/// Time between two updates of the targets. Not measured.
 constexpr duration view_interval = milliseconds{50};
 constexpr duration metrics_interval = seconds{1};
+/// The process's exit code once its state can't be made durable: docs/OPERATIONS.md.
 constexpr int disk_failed_exit = 5;
+/// Of a CURVE key in Z85, as `curve_keygen` prints it.
 constexpr std::size_t key_digits = 40;
 
 std::uint64_t random_seed()
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -6,6 +6,7 @@
 #include "daemon/daemon.h"
 #include "daemon/status_report.h"
 #include "io/clock.h"
+#include "io/http_status.h"
 
 #include <array>
 #include <nlohmann/json.hpp>
@@ -15,15 +16,11 @@
 
 using json = nlohmann::json;
 
-constexpr int ok = 200;
-constexpr int bad_request = 400;
-constexpr int unauthorized = 401;
-constexpr int not_found = 404;
-constexpr int bad_method = 405;
-constexpr int conflict = 409;
-constexpr int unprocessable = 422;
-constexpr int unavailable = 503;
+namespace status = http_status;
+
+/// Of a declarative file. Not measured.
 constexpr std::size_t max_operator_body = 32 << 20;
+/// Connections of operators and of whoever scrapes the metrics, at a time. Not measured.
 constexpr std::size_t max_operator_connections = 256;
 
 caller_limits operator_limits()
@@ -60,7 +57,7 @@
 void answer_change(http_reply& reply, const std::optional<wire::command_answer>& in)
 {
     if (!in) {
-        answer(reply, unavailable,
+        answer(reply, status::service_unavailable,
                {{"result", "unknown"},
                 {"text", "no answer from the root's voters in time; the change may still be "
                          "accepted: apply the same file again"}});
@@ -68,10 +65,10 @@
     }
     switch (static_cast<change_verdict>(in->change_verdict())) {
     case change_verdict::accepted:
-        answer(reply, ok, {{"result", "accepted"}, {"revision", in->revision()}});
+        answer(reply, status::ok, {{"result", "accepted"}, {"revision", in->revision()}});
         return;
     case change_verdict::conflict:
-        answer(reply, conflict,
+        answer(reply, status::conflict,
                {{"result", "conflict"},
                 {"in_force", in->conflict_with()},
                 {"in_force_change", in->conflict_change()},
@@ -79,7 +76,7 @@
         return;
     case change_verdict::reused_id:
         answer(
-            reply, conflict,
+            reply, status::conflict,
             {{"result", "reused_change_id"}, {"text", "this change_id was used for another file"}});
         return;
     default:
@@ -89,7 +86,8 @@
     for (const auto& it : in->faults()) {
         found.push_back({it.path(), it.text()});
     }
-    answer(reply, unprocessable, {{"result", "refused"}, {"faults", to_json(found)}});
+    answer(reply, status::unprocessable_content,
+           {{"result", "refused"}, {"faults", to_json(found)}});
 }
 
 } // namespace
@@ -137,7 +135,7 @@
         path_known = path_known || matches;
         if (matches && request.method == it.method) {
             if (!it.open && !is_allowed(request)) {
-                answer(*reply, unauthorized,
+                answer(*reply, status::unauthorized,
                        {{"text", "needs Authorization: Bearer and the operators' key"}});
                 return;
             }
@@ -145,7 +143,7 @@
             return;
         }
     }
-    answer(*reply, path_known ? bad_method : not_found,
+    answer(*reply, path_known ? status::method_not_allowed : status::not_found,
            {{"text", path_known ? "not with this method" : "no such path"}});
 }
 
@@ -161,29 +159,30 @@
 
 void operator_api::get_metrics(const http_request& /*request*/, const reply_ptr& reply)
 {
-    answer_text(*reply, ok, "text/plain; version=0.0.4", owner_.figures().text());
+    answer_text(*reply, status::ok, "text/plain; version=0.0.4", owner_.figures().text());
 }
 
 void operator_api::get_health(const http_request& /*request*/, const reply_ptr& reply)
 {
-    answer_text(*reply, ok, "text/plain", "ok\n");
+    answer_text(*reply, status::ok, "text/plain", "ok\n");
 }
 
 void operator_api::get_readiness(const http_request& /*request*/, const reply_ptr& reply)
 {
     const bool ready = owner_.is_ready();
-    answer_text(*reply, ready ? ok : unavailable, "text/plain", ready ? "ready\n" : "not ready\n");
+    answer_text(*reply, ready ? status::ok : status::service_unavailable, "text/plain",
+                ready ? "ready\n" : "not ready\n");
 }
 
 void operator_api::get_status(const http_request& /*request*/, const reply_ptr& reply)
 {
-    answer(*reply, ok, make_status(owner_, steady_now()));
+    answer(*reply, status::ok, make_status(owner_, steady_now()));
 }
 
 void operator_api::get_configuration(const http_request& /*request*/, const reply_ptr& reply)
 {
     const auto& it = owner_.control().domain().accepted();
-    answer(*reply, ok,
+    answer(*reply, status::ok,
            {{"revision", it.revision()}, {"change_id", it.change_id()}, {"text", it.text()}});
 }
 
@@ -201,10 +200,11 @@
                          {"reason", it.what.reason}});
     }
     if (steps.empty()) {
-        answer(*reply, not_found, {{"text", "this daemon keeps no decisions on that request"}});
+        answer(*reply, status::not_found,
+               {{"text", "this daemon keeps no decisions on that request"}});
         return;
     }
-    answer(*reply, ok, {{"request", id.str()}, {"decisions", steps}});
+    answer(*reply, status::ok, {{"request", id.str()}, {"decisions", steps}});
 }
 
 void operator_api::post_configuration(const http_request& request, const reply_ptr& reply)
@@ -212,7 +212,8 @@
     faults found;
     const auto config = configuration::parse(request.body, found);
     if (!config) {
-        answer(*reply, unprocessable, {{"result", "refused"}, {"faults", to_json(found)}});
+        answer(*reply, status::unprocessable_content,
+               {{"result", "refused"}, {"faults", to_json(found)}});
         return;
     }
     wire::config_change change;
@@ -228,7 +229,8 @@
     faults found;
     const auto config = configuration::parse(request.body, found);
     if (!config) {
-        answer(*reply, unprocessable, {{"result", "refused"}, {"faults", to_json(found)}});
+        answer(*reply, status::unprocessable_content,
+               {{"result", "refused"}, {"faults", to_json(found)}});
         return;
     }
     const auto& state = owner_.control().domain();
@@ -236,7 +238,7 @@
     for (const auto& it : plan_change(*state.config(), *config)) {
         lines.push_back({{"kind", it.kind}, {"what", it.what}});
     }
-    answer(*reply, ok,
+    answer(*reply, status::ok,
            {{"in_force", state.in_force().value},
             {"based_on", config->based_on.value},
             {"would_conflict", config->based_on != state.in_force()},
@@ -256,28 +258,29 @@
         in.finish();
     }
     if (!found.empty()) {
-        answer(*reply, bad_request, {{"result", "refused"}, {"faults", to_json(found)}});
+        answer(*reply, status::bad_request, {{"result", "refused"}, {"faults", to_json(found)}});
         return;
     }
     owner_.control().submit_drain(
         steady_now(), change, [reply](const std::optional<wire::command_answer>& it) {
             if (!it) {
-                answer(*reply, unavailable,
+                answer(*reply, status::service_unavailable,
                        {{"result", "unknown"},
                         {"text", "no answer from the failure domain in time; ask again"}});
             }
             else if (!it->refused().empty()) {
-                answer(*reply, unprocessable, {{"result", "refused"}, {"text", it->refused()}});
+                answer(*reply, status::unprocessable_content,
+                       {{"result", "refused"}, {"text", it->refused()}});
             }
             else {
-                answer(*reply, ok, {{"result", "done"}});
+                answer(*reply, status::ok, {{"result", "done"}});
             }
         });
 }
 
 void operator_api::post_stop(const http_request& /*request*/, const reply_ptr& reply)
 {
-    answer(*reply, ok, {{"result", "stopping"}});
+    answer(*reply, status::ok, {{"result", "stopping"}});
     owner_.stop();
 }
 
--- a/src/daemon/runner_client.cpp
+++ b/src/daemon/runner_client.cpp
@@ -1,6 +1,7 @@
 #include "daemon/runner_client.h"
 
 #include "cedarpoint/config/json_reader.h"
+#include "io/http_status.h"
 #include "io/log_line.h"
 
 #include <nlohmann/json.hpp>
@@ -8,7 +9,9 @@
 namespace cedarpoint {
 namespace {
 
+/// Bytes of a runner's state; a longer one is not read. Not measured.
 constexpr std::size_t max_state = 65536;
+/// How long the connection and the whole call may take. Not measured.
 constexpr call_options state_call{milliseconds{800}, milliseconds{1500}};
 
 std::optional<runner_phase> parse_phase(const std::string& text)
@@ -79,12 +82,12 @@
 void runner_client::end(const std::string& key, const runner_id& runner, call_end how,
                         const reason& why)
 {
-    constexpr int ok = 200;
     auto node = pending_.extract(key);
     auto& it = node.mapped();
     it.call.release()->deleteLater();
-    const auto report =
-        how == call_end::complete && it.status == ok ? parse_runner_report(it.body) : std::nullopt;
+    const auto report = how == call_end::complete && it.status == http_status::ok
+                            ? parse_runner_report(it.body)
+                            : std::nullopt;
     if (report) {
         unclear_.erase(key);
         on_report_(runner, *report);
--- a/src/io/mesh.cpp
+++ b/src/io/mesh.cpp
@@ -7,13 +7,20 @@
 namespace cedarpoint {
 namespace {
 
+/// Messages that wait for one peer; more are dropped. Not measured.
 constexpr int high_water = 10'000;
+/// Time to the first attempt to connect again; it doubles up to the second figure. Not measured.
 constexpr int reconnect_ms = 50;
 constexpr int reconnect_max_ms = 1000;
+/// How long a connection may take. Not measured.
 constexpr int connect_timeout_ms = 1000;
+/// How long a peer that took the connection may be silent. ZeroMQ waits 30 s by default: after a
+/// cut daemons waited for such peers (soak seed 150; mesh_test: 30.1 s before, 1.6 s with this).
 constexpr int handshake_ms = 1500;
+/// ZeroMQ's own heartbeats, which end a connection that is dead. Not measured.
 constexpr int heartbeat_ms = 1000;
 constexpr int heartbeat_timeout_ms = 2500;
+/// Bounds what a peer can make this process allocate; snapshots go in one message. Not measured.
 constexpr std::size_t max_message = 64 << 20;
 constexpr const char* zap_address = "inproc://zeromq.zap.01";
 constexpr const char* zap_domain = "cedarpoint";
@@ -207,7 +214,7 @@
             }
             parts.push_back(std::move(part));
         } while (parts.back().more());
-        constexpr std::size_t curve_parts = 9;
+        constexpr std::size_t curve_parts = 9; // of a ZAP request with a key (ZeroMQ RFC 27)
         const bool fine = parts.size() == curve_parts && parts[7].to_string_view() == "CURVE" &&
                           parts[8].size() == key_bytes &&
                           std::memcmp(parts[8].data(), own.data(), key_bytes) == 0;
--- a/src/io/simple_listeners.cpp
+++ b/src/io/simple_listeners.cpp
@@ -1,12 +1,11 @@
 #include "io/simple_listeners.h"
 
+#include "io/http_status.h"
+
 namespace cedarpoint {
 namespace {
 
-constexpr int status_ok = 200;
-constexpr int status_not_found = 404;
-constexpr int status_unavailable = 503;
-
+/// For the balancer and whoever scrapes the metrics. Not measured.
 caller_limits small_limits()
 {
     caller_limits out;
@@ -22,7 +21,7 @@
     return std::make_unique<http_listener>(
         small_limits(), [is_ready = std::move(is_ready)](const http_request& /*request*/,
                                                          const std::shared_ptr<http_reply>& reply) {
-            reply->send({is_ready() ? status_ok : status_unavailable, {}}, "");
+            reply->send({is_ready() ? http_status::ok : http_status::service_unavailable, {}}, "");
         });
 }
 
@@ -32,7 +31,7 @@
         small_limits(), [text = std::move(text)](const http_request& request,
                                                  const std::shared_ptr<http_reply>& reply) {
             const bool known = request.target == "/metrics";
-            http_head head{known ? status_ok : status_not_found, {}};
+            http_head head{known ? http_status::ok : http_status::not_found, {}};
             head.fields.add("Content-Type", "text/plain; version=0.0.4");
             reply->send(std::move(head), known ? text() : "");
         });
