--- a/include/cedarpoint/fleet/announcement.h
+++ b/include/cedarpoint/fleet/announcement.h
@@ -12,10 +12,10 @@
 
 namespace cedarpoint {
 
-/// The phase of a member of a group, as the runner itself reports it.
+/// The phase of a group's member, as reported by the runner.
 enum class member_phase { joining, ready, open, closing, broken };
 
-/// The group that a runner reports to be in.
+/// A runner's group membership, as reported by the runner.
 struct group_membership {
     group_id group;
     epoch assignment;
@@ -23,25 +23,25 @@
     member_phase phase = member_phase::joining;
 };
 
-/// Orders the heartbeats of a runner over its lives. A heartbeat of an earlier life comes before
-/// all of a later one, however high its number. A clock that was set back between two lives makes
-/// the later one seem the earlier: it is not heard until the other is forgotten, which costs its
-/// use for that time and frees nothing wrongly.
+/// Orders the heartbeats of a runner across its lives: a heartbeat of an earlier life precedes all
+/// of a later one, regardless of its number. If the clock was set back between two lives, the later
+/// one seems to be the earlier: its heartbeats are refused until the registry removes the other.
+/// The runner is unused for that time, but nothing is freed wrongly.
 struct heartbeat_number {
     birth born;
     std::uint64_t sequence = 0;
     friend auto operator<=>(const heartbeat_number&, const heartbeat_number&) = default;
 };
 
-/// The content of a runner's heartbeat. A runner may start again under its id: then it holds and
-/// knows nothing of before.
+/// The content of a runner's heartbeat. A runner may restart under its id and then has no state of
+/// its earlier life.
 struct announcement {
     runner_id id;
     birth born;
     service_id service;
     endpoint address;
     failure_domain_id failure_domain;
-    fabric_domain_id fabric_domain; ///< empty where runners form no groups
+    fabric_domain_id fabric_domain; ///< empty if the runner's service forms no groups
     int slots = 1;
     bool draining = false;
     std::uint64_t sequence = 0; ///< a later heartbeat of the same life has a higher one
--- a/include/cedarpoint/fleet/control_call.h
+++ b/include/cedarpoint/fleet/control_call.h
@@ -7,26 +7,26 @@
 
 namespace cedarpoint {
 
-/// What a call of an operator or a runner to a control daemon asks for.
+/// The kinds of calls from operators and runners to a control daemon.
 enum class control_call {
     put_configuration,
     get_configuration,
     heartbeat,
     deregister,
     check_readiness,
-    list_quarantine, ///< requests that are sent to no runner
+    list_quarantine, ///< lists the requests that are sent to no runner
     lift_quarantine,
     unknown
 };
 
-/// A name for metrics.
+/// Returns the name of the call in metrics.
 std::string_view name_of(control_call call);
 
-/// A call, and what it is about.
+/// A call and its arguments.
 struct parsed_call {
     control_call call = control_call::unknown;
-    runner_id runner;            ///< that makes it, if one does
-    request_fingerprint request; ///< whose quarantine is lifted
+    runner_id runner;            ///< the calling runner, if a runner calls
+    request_fingerprint request; ///< the request whose quarantine is lifted
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/group_conversion.h
+++ b/include/cedarpoint/fleet/group_conversion.h
@@ -13,26 +13,31 @@
 
 namespace cedarpoint {
 
-/// Groups of one model that are to make room for groups of another one in the same fabric domain.
+/// A proposal to retire groups of one model so that their runners can form groups of another model
+/// in the same fabric domain.
 struct conversion_proposal {
     const fleet_service* service = nullptr;
     const engine_model* to = nullptr;
     const engine_model* from = nullptr;
     fabric_domain_id domain;
     std::vector<const planned_group*> retired;
-    std::set<runner_id> runners; ///< that can join for `to`: of the retired groups, and free ones
-    std::size_t gained = 0;      ///< groups of `to` that fit
+    std::set<runner_id> runners; ///< runners that can join for `to`: members of the retired groups,
+                                 ///< and free runners
+    std::size_t gained = 0;      ///< groups of `to` that these runners can form
 };
 
-/// Moves capacity to the model that is shortest of it. A group of the model with more room is
-/// retired (it takes no new requests and ends with its last one), and its runners, which hold the
-/// other model's weights on their hosts (`weight_staging`), join for that model within seconds.
+/// Moves capacity to the model with the highest utilization. A group of a less utilized model is
+/// retired: it accepts no new requests and ends when its last request has ended. Its runners
+/// already have the other model's weights on their hosts (see `weight_staging`), so they join for
+/// that model within seconds.
 ///
-/// A conversion must lower the higher utilization of the two models by a clear part. With unchanged
-/// work it falls with each conversion, so none undoes an earlier one and capacity settles. No
-/// failure domain loses its last group of a model: cut off, it could not serve it any more.
+/// A conversion must clearly lower the higher utilization of the two models. Under constant load
+/// that utilization falls with each conversion, so no conversion undoes an earlier one and the
+/// allocation converges. No failure domain loses its last group of a model: during a network
+/// partition it could no longer serve that model.
 ///
-/// Remembers the runners of each conversion under way, so that placement forms what it is for.
+/// Reserves the runners of each conversion in progress, so that placement uses them only for the
+/// model that they were converted for.
 class group_conversion {
 public:
     void clear()
@@ -40,18 +45,19 @@
         under_way_.clear();
         taken_at_.clear();
     }
-    /// The next conversion that is worth its while; empty if there is none. It counts as begun.
+    /// Returns the next worthwhile conversion and records it as in progress; empty if there is
+    /// none.
     [[nodiscard]] std::optional<conversion_proposal>
     begin_next(instant now, const placement_snapshot& in, const group_plan& plan);
-    /// Ends conversions that have formed their groups, can't form them any more, or are overdue.
-    /// True if it ended one; what `kept_for` has returned before is not valid any more then.
+    /// Removes conversions that have formed their groups, can no longer form them, or are overdue.
+    /// Returns true if it removed any; pointers that `kept_for` returned earlier are then invalid.
     bool forget_finished(instant now, const placement_snapshot& in);
-    /// A group was formed of these runners.
+    /// Records that these runners have formed a group of the model.
     void on_formed(const model_id& model, const std::vector<runner_id>& members);
 
-    /// The model that the runner is kept for; null if it may join for any.
+    /// Returns the model that the runner is reserved for; null if it may join for any model.
     [[nodiscard]] const model_id* kept_for(const runner_id& runner) const;
-    /// Groups of each model that conversions under way will form.
+    /// Returns, for each model, the number of groups that conversions in progress will still form.
     [[nodiscard]] std::map<model_id, std::size_t> count_expected() const;
     [[nodiscard]] std::size_t count() const { return under_way_.size(); }
 
@@ -59,12 +65,12 @@
     struct conversion {
         model_id to;
         std::size_t group_size = 1;
-        std::size_t expected = 0; ///< groups that are still to be formed
+        std::size_t expected = 0; ///< groups not formed yet
         std::set<runner_id> runners;
         instant overdue_at;
     };
 
-    /// Models that were given groups lately.
+    /// Returns the models that received groups recently and therefore give none now.
     [[nodiscard]] std::set<model_id> find_resting(instant now) const;
     [[nodiscard]] std::size_t count_runners() const;
 
--- a/include/cedarpoint/fleet/group_evidence.h
+++ b/include/cedarpoint/fleet/group_evidence.h
@@ -11,35 +11,40 @@
 
 namespace cedarpoint {
 
-/// Questions about the members of a group, answered from the plan, from what runners reported and
-/// from the failure detector. `group_lifecycle` decides by the answers; nothing here changes.
+/// Read-only queries about the members of a group, answered from the plan, the runners' reports and
+/// the failure detector. `group_lifecycle` bases its decisions on them.
 class group_evidence {
 public:
     group_evidence(const group_plan& plan, const failure_detector& detector,
                    const runner_registry& registry);
 
-    /// The first member that is lost; null if none is.
+    /// Returns the first lost member of the group; null if there is none.
     [[nodiscard]] const runner_id* find_lost(instant now, const planned_group& group) const;
-    /// Why the member counts as lost, for the log.
+    /// Returns the reason why the member counts as lost, for the log.
     [[nodiscard]] std::string describe_loss(instant now, const planned_group& group,
                                             const runner_id& member) const;
-    /// True if the runner can't be ordered to anything any more: it is forgotten, or another one
-    /// has its address.
+    /// Returns true if no order can reach the runner any more: the registry no longer has it, or
+    /// another runner has its address.
     [[nodiscard]] bool is_replaced(const runner_id& runner) const;
-    /// True if the head has left or is replaced; false for one that reports to be in the group.
+    /// Returns true if the head was freed from the group and does not report it any more, or if the
+    /// head is replaced.
     [[nodiscard]] bool is_head_out(instant now, const planned_group& group) const;
-    /// True if the head spoke since the group entered its phase.
+    /// Returns true if the head sent a heartbeat or answered a probe since the group entered its
+    /// phase.
     [[nodiscard]] bool is_head_heard(const planned_group& group) const;
-    /// True if a member other than the head was heard lately.
+    /// Returns true if a member other than the head is present or draining. A draining member
+    /// counts even if its heartbeat is overdue.
     [[nodiscard]] bool is_some_member_heard(instant now, const planned_group& group) const;
-    /// True if the runner's latest heartbeat names another group, which it was not freed from.
+    /// Returns true if the runner's latest heartbeat names another group that it has not been freed
+    /// from.
     [[nodiscard]] bool is_in_other_group(const planned_group& group, const runner_id& member) const;
-    /// True if a member that had left is in the group again: an order to join came late.
+    /// Returns true if a member that had left reports to be in the group again, because a delayed
+    /// order to join was carried out.
     [[nodiscard]] bool is_back(const planned_group& group, const runner_id& member) const;
 
 private:
-    /// The group that the runner's latest heartbeat names; null if it names none, or one that the
-    /// runner was freed from since.
+    /// Returns the group that the runner's latest heartbeat names; null if it names none, or a
+    /// group that the runner has been freed from since.
     [[nodiscard]] const group_id* reported_group(const runner_id& runner) const;
 
     const group_plan& plan_;
--- a/include/cedarpoint/fleet/group_lifecycle.h
+++ b/include/cedarpoint/fleet/group_lifecycle.h
@@ -16,7 +16,7 @@
 
 namespace cedarpoint {
 
-/// One change of a group, for the log.
+/// A phase change of a group, for the log.
 struct plan_event {
     group_id group;
     plan_phase phase = plan_phase::joining;
@@ -24,8 +24,8 @@
     std::string members; ///< separated by commas
 };
 
-/// The life of each group: a state machine that is evaluated on every tick and that goes by what
-/// runners report, never by what they were ordered to do.
+/// The state machine of each group. It is evaluated on every tick and relies on what runners
+/// report, never on what they were ordered to do.
 ///
 ///     joining ---- all members ready ------------------------> opening
 ///     joining ---- a member lost, draining or unresponsive --> (ended)
@@ -36,36 +36,36 @@
 ///     retiring --- idle, at the limit, or a member lost -----> releasing
 ///     releasing -- the head has left, or is replaced --------> disbanding
 ///     releasing -- the head is unresponsive -----------------> waiting
-///     waiting ---- the head is heard again ------------------> serving
+///     waiting ---- the head reports again -------------------> serving
 ///     waiting ---- no entry daemon reaches the head ---------> disbanding
-///     waiting ---- members are heard, the head is not -------> disbanding
+///     waiting ---- members respond, the head does not -------> disbanding
 ///     disbanding - every member has left, or is replaced ----> (ended)
 ///
-/// It keeps two of the rules of docs/RULES-KEPT.md at every moment. PARTIAL: a group opens only
-/// when every member has reported ready under the group's name and epoch, and the group is in the
-/// log. TWO: a member of a group that may have opened is free for another one only once it has
-/// itself answered the order to leave. Nothing else frees it: silence, failed probes, the tries of
-/// entry daemons, time that passes and heartbeats of unknown age only decide when it is ordered to
-/// leave.
+/// Maintains two of the rules of docs/RULES-KEPT.md at all times. PARTIAL: a group opens only when
+/// every member has reported ready under the group's name and epoch, and the group is in the log.
+/// TWO: a member of a group that may have opened becomes free for another group only after the
+/// member itself has answered the order to leave. Nothing else frees it: missing heartbeats, failed
+/// probes, connection checks by entry daemons, elapsed time and heartbeats of unknown age only
+/// decide when it is ordered to leave.
 class group_lifecycle {
 public:
     group_lifecycle(planner_options options, group_plan& plan, planner_outbox& outbox,
                     const failure_detector& detector, const runner_registry& registry,
                     const health_reports& reports, const fleet_state& state);
 
-    /// Begins a new group: its members are ordered to join.
+    /// Adds a new group to the plan and orders its members to join.
     void begin(instant now, planned_group group);
-    /// Puts a group that is in the plan into a phase.
+    /// Moves a group of the plan to a phase.
     void enter(instant now, planned_group& group, plan_phase phase, const std::string& why);
-    /// Evaluates the state of each group.
+    /// Evaluates the state machine of each group.
     void advance_all(instant now);
-    /// A serving group takes no new requests and ends with its last one. Nothing if it does not
-    /// serve.
+    /// Retires a serving group: it accepts no new requests and ends when its last request has
+    /// ended. Does nothing in any other phase.
     void retire(instant now, const group_id& name, const std::string& why);
     void on_order_result(instant now, const group_order& order, order_result result);
 
-    /// Heads that the leader can't reach, while some of their members answer: entry daemons are
-    /// asked to try them.
+    /// Returns the heads that the leader can't reach although other members of their groups
+    /// answered probes. Entry daemons are asked to try to connect to them.
     [[nodiscard]] std::vector<runner_id> suspects() const;
     std::function<void(const plan_event&)> on_event;
 
@@ -83,12 +83,13 @@
     void disband(instant now, planned_group& group, const std::string& why);
     void probe_all(instant now, const planned_group& group);
     void probe_unanswered(instant now, planned_group& group);
-    /// Ends a group that was never opened: its members are free whatever they have joined.
+    /// Ends a group that was never opened. Its members are free at once, even if they have joined
+    /// it.
     void end_unopened(const planned_group& group, const std::string& why);
-    /// The member has answered that it left.
+    /// Frees a member that has answered the order to leave.
     void free(const planned_group& group, const runner_id& member);
     void end(const planned_group& group, const std::string& why);
-    /// Lets the log forget a group whose head can't be open any more.
+    /// Proposes to remove a group whose head can no longer be open from the log.
     void record_end(planned_group& group);
     void report(const planned_group& group, const std::string& why) const;
 
--- a/include/cedarpoint/fleet/group_order.h
+++ b/include/cedarpoint/fleet/group_order.h
@@ -11,41 +11,42 @@
 
 namespace cedarpoint {
 
-/// Orders that runners of grouped services take.
+/// The kinds of orders to runners of services with groups.
 enum class order_kind {
     join,  ///< become a member of a group: load the model, then report ready
-    open,  ///< to a head whose members are all ready: take requests
+    open,  ///< sent to a head whose members are all ready: accept requests
     leave, ///< stop being a member
     stage  ///< copy a model's weights from the store to the runner's host
 };
 
-/// One order to one runner. Runners refuse an older fence and an older epoch.
+/// One order to one runner. A runner refuses an order with a fence or an epoch below one that it
+/// has seen.
 struct group_order {
     order_kind kind = order_kind::join;
     runner_id to;
     endpoint address;
     group_id group;
     epoch assignment;
-    std::uint64_t fence = 0; ///< the leader's term, then a counter: above all earlier orders
+    std::uint64_t fence = 0; ///< the leader's term, then a counter; above all earlier orders
     model_id model;
-    std::vector<runner_id> members; ///< of a join, the head first
+    std::vector<runner_id> members; ///< set for `join`; the head first
 };
 
-/// How an order ended.
+/// The result of an order.
 enum class order_result {
-    taken,     ///< being carried out, or it holds already
-    unfit,     ///< it does not fit the runner's state
+    taken,     ///< accepted, or already carried out
+    unfit,     ///< not applicable in the runner's present state
     fenced,    ///< the runner has seen a newer fence or epoch
     refused,   ///< another runner has this address
     unreached, ///< the address refused the connection
-    unknown    ///< no answer: it may be carried out later
+    unknown    ///< no answer; the order may still be carried out
 };
 
-/// Names in the log and in metrics.
+/// Return the names that the log and the metrics use.
 std::string_view name_of(order_kind kind);
 std::string_view name_of(order_result result);
 
-/// What the planner asks of the process around it.
+/// An action that the planner asks its caller to perform.
 struct planner_step {
     enum class kind_t {
         order,
--- a/include/cedarpoint/fleet/group_placement.h
+++ b/include/cedarpoint/fleet/group_placement.h
@@ -17,21 +17,23 @@
     const engine_model* model = nullptr;
     fabric_domain_id domain;
     std::vector<runner_id> members; ///< the head first
-    std::size_t loads = 0;          ///< members that read weights from the store
-    double cost = 0;                ///< the cheapest is formed first; see `placement_cost`
+    std::size_t loads = 0;          ///< members that load weights from the store
+    double cost = 0; ///< the group with the lowest cost is formed first; see `placement_cost`
 };
 
-/// Chooses which free runners form which group next. A group lies in one fabric domain: groups over
-/// several were tried twice and broke rule TWO (docs/DESIGN.md). Its members are those that
-/// join soonest.
+/// Chooses which free runners form the next group. A group lies within one fabric domain: groups
+/// that span several were tried twice and violated rule TWO (docs/DESIGN.md). The members are the
+/// runners that can join soonest.
 ///
-/// Before the first request weights are loaded while groups form. Once there is traffic no group
-/// waits for weights, which takes 12 s and more and holds runners that could serve elsewhere (round
-/// "groups waited for weights -> they are staged": 0.40 -> 0.68); `weight_staging` brings them to
-/// free runners instead. Weights are loaded only in a domain that prefers the model.
+/// Before the first request, groups load weights while they form. Once there is traffic, no group
+/// waits for weights: loading takes 12 s or more and blocks runners that could serve elsewhere
+/// (staging the weights instead raised the result of a measured run from 0.40 to 0.68).
+/// `weight_staging` copies weights to the hosts of free runners instead. Weights are loaded only in
+/// a domain that prefers the model.
 class group_placement {
 public:
-    /// Empty if no group is wanted, fits, and may load its weights now.
+    /// Returns the group with the lowest cost that fits and may load its weights now; empty if
+    /// there is none.
     [[nodiscard]] static std::optional<proposed_group>
     propose(instant now, const placement_snapshot& in, const load_limiter& loads);
 
--- a/include/cedarpoint/fleet/group_plan.h
+++ b/include/cedarpoint/fleet/group_plan.h
@@ -12,38 +12,40 @@
 
 namespace cedarpoint {
 
-/// The groups of the leader's plan, and which runners belong to them. A runner belongs to one group
-/// at most. Holds state only: `group_lifecycle` decides on it.
+/// The groups of the leader's plan and the runners that belong to them. A runner belongs to at most
+/// one group. Holds state only; `group_lifecycle` makes the decisions.
 class group_plan {
 public:
     using group_map = std::map<group_id, planned_group>;
 
-    /// Empties the plan for a new term. The models that runners joined last stay known.
+    /// Clears the plan for a new term. Keeps the model that each runner joined last.
     void clear();
 
-    /// The runner has loaded the model, as an earlier leader knew.
+    /// Records the model that the runner has loaded, as an earlier leader logged it.
     void note_loaded(const runner_id& runner, const model_id& model)
     {
         last_models_[runner] = model;
     }
-    /// Adds a group; its members belong to it from now on, even if they belonged to another one.
+    /// Adds a group. Its members now belong to it, even if they belonged to another group.
     planned_group& add(planned_group group);
-    /// Adds a group; members that belong to another group stay there.
+    /// Adds a group. Members that belong to another group remain in that one.
     planned_group& add_without_rebinding(planned_group group);
-    /// A member that had left belongs to the group again.
+    /// Assigns a member that had left to the group again.
     void bind(const planned_group& group, const runner_id& member) { bound_[member] = group.name; }
-    /// The member has said that it left the group, and may be ordered to join another one. A
-    /// heartbeat later than `latest` that names the group again says that it is back: an order to
-    /// join may be carried out seconds late, also by a later life of the member.
+    /// Frees a member that has confirmed that it left the group; it may be ordered to join another
+    /// one. A heartbeat later than `latest` that names the group means that the member has rejoined
+    /// it: an order to join may be carried out seconds late, even by a later life of the member.
     void free(const planned_group& group, const runner_id& member, heartbeat_number latest);
-    /// The same for a group that was never opened: no report of this life of it counts any more.
+    /// Frees a member of a group that was never opened: all reports of this life of the member that
+    /// name the group are ignored.
     void free_unopened(const planned_group& group, const runner_id& member, birth life);
-    /// The runner has begun a new life: it has loaded no model.
+    /// Clears the runner's loaded model, because a new life of it has loaded none.
     void forget_loaded(const runner_id& runner) { last_models_.erase(runner); }
-    /// The member belongs to the group no more, but is not free: what it reports next counts.
+    /// Removes the member from the group without freeing it: later reports that name the group
+    /// still count.
     void forget(const planned_group& group, const runner_id& member);
-    /// Marks a group whose members are all free or forgotten. The group itself stays until
-    /// `erase_ended`, so that loops over the groups may end them.
+    /// Marks a group whose members are all freed or removed as ended. It stays in the plan until
+    /// `erase_ended`, so that groups can be ended during iteration.
     void end(const planned_group& group) { ended_.insert(group.name); }
     void erase_ended();
 
@@ -51,24 +53,25 @@
     [[nodiscard]] const group_map& groups() const { return groups_; }
     [[nodiscard]] planned_group* find(const group_id& name);
     [[nodiscard]] bool is_bound(const runner_id& runner) const { return bound_.contains(runner); }
-    /// The group that the runner belongs to; null if it belongs to none.
+    /// Returns the group that the runner belongs to; null if there is none.
     [[nodiscard]] const planned_group* group_of(const runner_id& runner) const;
-    /// True if the runner belongs to this group, as far as the plan knows.
+    /// Returns true if the plan assigns the runner to this group.
     [[nodiscard]] bool belongs_to(const runner_id& runner, const planned_group& group) const;
-    /// True if the runner was freed, in this term, from the group that this heartbeat of it names,
-    /// and the heartbeat does not say that it is back.
+    /// Returns true if the runner was freed in this term from the group that this heartbeat names,
+    /// and the heartbeat is no later than that.
     [[nodiscard]] bool is_freed(const announcement& runner) const;
-    /// The model that the runner joined a group for last; null if it has not joined one.
+    /// Returns the model of the latest group that the runner joined; null if it has joined none.
     [[nodiscard]] const model_id* last_model_of(const runner_id& runner) const;
-    /// Groups of each model that serve or are about to.
+    /// Returns the number of groups of each model that are joining, opening or serving.
     [[nodiscard]] std::map<model_id, std::size_t> count_active() const;
-    /// Weights that members of joining groups read from the store.
+    /// Returns the number of members of joining groups that load weights from the store.
     [[nodiscard]] std::size_t count_loads() const;
 
 private:
     group_map groups_;
     std::map<runner_id, group_id> bound_;
-    /// The latest heartbeat of a freed member when it was freed; all for a group never opened.
+    /// The latest heartbeat of each freed member when it was freed; the highest number if its group
+    /// was never opened.
     std::map<std::pair<group_id, runner_id>, heartbeat_number> freed_;
     std::map<runner_id, model_id> last_models_;
     std::set<group_id> ended_;
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -26,55 +26,60 @@
 
 namespace cedarpoint {
 
-/// Decides on the leading control daemon which runners form which groups. Puts together the parts
-/// that decide, in the order of a tick: `leader_recovery` takes over groups of earlier leaders,
-/// `group_lifecycle` moves groups through their states as `failure_detector` sees the runners,
-/// `group_conversion` takes groups apart for another model, `group_placement` forms new ones,
-/// `weight_staging` brings weights to free runners. Does no I/O:
-/// a tick returns the steps to carry out. Soft state, begun anew with each term.
+/// Decides, on the leading control daemon, which runners form which groups. Runs its components in
+/// this order on each tick: `leader_recovery` takes over groups of earlier leaders,
+/// `group_lifecycle` advances the groups' phases based on `failure_detector`, `group_conversion`
+/// retires groups in favour of another model, `group_placement` forms new groups, and
+/// `weight_staging` copies weights to the hosts of runners. Does no I/O: a tick returns the steps
+/// to carry out. Its state is soft and is reset at the start of each term.
 class group_planner {
 public:
     group_planner(planner_options options, const runner_registry& registry,
                   const health_reports& reports, const fleet_state& state);
 
-    /// Begins anew as the leader of `term`.
+    /// Resets the state and starts as the leader of `term`.
     void begin_term(instant now, std::uint64_t term);
-    /// The configuration must live until the next one is set. Without one nothing is planned.
+    /// Sets the configuration, which must stay valid until the next one is set. Without a
+    /// configuration nothing is planned.
     void set_configuration(const fleet_configuration* configuration);
     [[nodiscard]] std::vector<planner_step> tick(instant now);
     void on_order_result(instant now, const group_order& order, order_result result);
     void on_probe_failed(const runner_id& runner, bool refused);
-    /// The runner answered a probe or sent a heartbeat; what it said goes to the registry.
+    /// Records that the runner answered a probe or sent a heartbeat. The content goes to the
+    /// registry.
     void on_alive(const runner_id& runner);
-    /// The runner has started again under its id and holds nothing. What its heartbeats report
-    /// ends its part in a group; this forgets what nobody reports.
+    /// Records that the runner has restarted under its id with nothing loaded. Its heartbeats end
+    /// its group membership; this clears its loaded model, which no heartbeat reports.
     void on_new_life(const runner_id& runner);
     void set_event_handler(std::function<void(const plan_event&)> handler);
 
     [[nodiscard]] const group_plan::group_map& groups() const { return plan_.groups(); }
-    /// Heads that entry daemons are asked to try.
+    /// Returns the heads that entry daemons are asked to try to connect to.
     [[nodiscard]] std::vector<runner_id> suspects() const { return lifecycle_.suspects(); }
-    /// One line on what there is and what is wanted, for the log.
+    /// Returns a one-line summary of the groups, free runners and loads, for the log.
     [[nodiscard]] std::string summary(instant now) const;
-    /// False while a new leader still waits to hear from everyone.
+    /// Returns false while a new leader still waits for the runners' heartbeats.
     [[nodiscard]] bool is_settled(instant now) const { return now >= settled_at_; }
 
 private:
-    /// True unless the fleet is starting and runners are still announcing themselves.
+    /// Returns false while the fleet is starting and new runners still announce themselves.
     [[nodiscard]] bool has_heard_fleet(instant now) const;
     void form_groups(instant now);
-    /// Retires groups for a model that is shorter of room than theirs; true if it did.
+    /// Retires groups in favour of a model with a higher utilization. Returns true if it retired
+    /// any.
     bool convert_groups(instant now, const placement_snapshot& in);
     void begin_group(instant now, const proposed_group& proposed);
     [[nodiscard]] bool is_usable(const runner_record& record) const;
     [[nodiscard]] bool is_free(instant now, const runner_record& record) const;
-    /// Heard in this term, and in no group that is being formed or ended.
+    /// Returns true if the runner sent a heartbeat in this term and is in no group, or in one that
+    /// serves.
     [[nodiscard]] bool is_settled_runner(const runner_record& record) const;
     [[nodiscard]] placement_snapshot take_snapshot(instant now) const;
     void count_groups(placement_snapshot& out) const;
     void add_runners(instant now, placement_snapshot& out) const;
     void measure_work(instant now);
-    /// Requests for the model in service now, and those turned away per second.
+    /// Returns the number of requests in service for the model plus the rate of rejected ones per
+    /// second.
     [[nodiscard]] double count_requests(instant now, const engine_model& model) const;
     [[nodiscard]] std::size_t count_serving(const model_id& model) const;
     [[nodiscard]] std::string summarize_models(const placement_snapshot& in) const;
--- a/include/cedarpoint/fleet/group_targets.h
+++ b/include/cedarpoint/fleet/group_targets.h
@@ -7,20 +7,21 @@
 
 namespace cedarpoint {
 
-/// How many groups of a model there should be while its work is not known: those that its share of
-/// the runners makes, one at least.
+/// Returns the target number of groups of a model while its load is unknown: as many as its share
+/// of the runners can form, and at least one.
 [[nodiscard]] std::size_t base_groups(const placement_snapshot& in, const fleet_service& service,
                                       const engine_model& model);
 
-/// The part of its slots that a model's work would take with this many groups; above 1 requests are
-/// turned away. With none the work is not known, and the model counts as short of room.
+/// Returns the fraction of its slots that a model's load would occupy with this many groups; above
+/// 1, requests are rejected. With no group the load can't be measured, and the model counts as
+/// short of capacity.
 [[nodiscard]] double utilization_with(const placement_snapshot& in, const fleet_service& service,
                                       const engine_model& model, std::size_t groups);
 
-/// True if runners may change from groups of one model, of which `from_groups` are left then, to
-/// groups of another. The weights that they have loaded are lost by it, and the store brings few
-/// back in time: so the model that takes them must be short of room, and much shorter than the
-/// other.
+/// Returns true if runners may switch from groups of model `from`, which then has `from_groups`
+/// left, to groups of model `to`. They lose the weights that they have loaded, and the store can
+/// reload only few in time, so `to` must be short of capacity and have a much higher utilization
+/// than `from`.
 [[nodiscard]] bool is_worth_switching(const placement_snapshot& in, const fleet_service& service,
                                       const engine_model& from, std::size_t from_groups,
                                       const engine_model& to);
--- a/include/cedarpoint/fleet/leader_recovery.h
+++ b/include/cedarpoint/fleet/leader_recovery.h
@@ -12,23 +12,25 @@
 
 namespace cedarpoint {
 
-/// What a new leader believes before it has heard from anyone: the runners in the log, as members
-/// of the groups in the log with open heads. May be as old as the log's latest entry about them;
-/// each heartbeat replaces it. Runners that are gone are left out.
+/// Returns the state of the runners that a new leader assumes before it receives heartbeats: the
+/// runners in the log, as members of the logged groups, with the heads open. It may be as old as
+/// the log's latest entry about them, and each heartbeat replaces it. Runners that are gone are
+/// omitted.
 [[nodiscard]] std::vector<announcement> runners_in_log(const fleet_state& state);
 
 /// Takes over the groups of earlier leaders: those in the log at once, and those that only runners
-/// report once they are heard.
+/// report when their heartbeats arrive.
 class leader_recovery {
 public:
     leader_recovery(group_plan& plan, group_lifecycle& lifecycle, const runner_registry& registry,
                     const fleet_state& state);
 
-    /// Every group in the log counts as serving: its head may be open. What its members report
-    /// corrects this.
+    /// Adds every group in the log as serving, because its head may be open. The members'
+    /// heartbeats correct this.
     void inherit_logged_groups(instant now);
-    /// Adds the groups that runners report and the plan does not have. One that is open and whole
-    /// serves on; any other is released, because this leader does not know what was ordered.
+    /// Adds the groups that runners report and the plan does not have. An open, complete group
+    /// continues to serve; any other is released, because this leader does not know what was
+    /// ordered.
     void adopt_reported_groups(instant now, const fleet_configuration& configuration);
 
 private:
--- a/include/cedarpoint/fleet/planner_outbox.h
+++ b/include/cedarpoint/fleet/planner_outbox.h
@@ -15,27 +15,28 @@
 
 namespace cedarpoint {
 
-/// Collects what the planner wants done, and bounds how often the same thing is asked for: an order
-/// is repeated after `order_retry`, a probe after `probe_interval`, so that the rules that call for
-/// them can be evaluated on every tick.
+/// Collects the planner's steps and limits how often each is repeated: an order after
+/// `order_retry`, a probe after `probe_interval`. So the planner can request the same step on every
+/// tick.
 class planner_outbox {
 public:
     planner_outbox(planner_options options, const runner_registry& registry);
 
-    /// Orders carry fences of `term` from now on; what was asked for earlier is forgotten.
+    /// Starts `term`: orders carry its fences from now on, and the repetition limits are reset.
     void begin_term(std::uint64_t term);
-    /// True if no later order went to the runner: the answer to an older one may be out of date.
+    /// Returns true if no later order went to the runner; the answer to an older one may be out of
+    /// date.
     [[nodiscard]] bool is_latest(const group_order& order) const;
-    /// True if the order was given in this term.
+    /// Returns true if the order was given in this term.
     [[nodiscard]] bool is_of_this_term(const group_order& order) const;
 
     void order(instant now, const planned_group& group, order_kind kind, const runner_id& to);
     void stage(const runner_id& to, const model_id& model);
-    /// Does nothing for a runner that is not known.
+    /// Does nothing if the registry does not have the runner.
     void probe(instant now, const runner_id& runner);
     void record(std::string command);
 
-    /// Hands over all steps since the previous call.
+    /// Returns all steps added since the previous call.
     [[nodiscard]] std::vector<planner_step> take();
 
 private:
@@ -45,7 +46,7 @@
 
     planner_options options_;
     const runner_registry& registry_;
-    std::uint64_t latest_fence_ = 0;            ///< of all orders; its upper bits are the term
+    std::uint64_t latest_fence_ = 0; ///< highest of all orders; its upper bits are the term
     std::map<runner_id, std::uint64_t> fences_; ///< of the latest order to each runner
     std::map<order_key, instant> ordered_at_;
     std::map<runner_id, instant> probed_at_;
--- a/include/cedarpoint/fleet/view_builder.h
+++ b/include/cedarpoint/fleet/view_builder.h
@@ -13,15 +13,15 @@
 
 namespace cedarpoint {
 
-/// Decides what entry daemons are told of runners and groups.
+/// Builds the view of runners and groups that entry daemons receive.
 class view_builder {
 public:
-    /// `heartbeat`: the time between two heartbeats of a runner.
+    /// `heartbeat`: the interval between two heartbeats of a runner.
     view_builder(duration heartbeat, const runner_registry& registry, const health_reports& reports,
                  const fleet_state& state);
 
-    /// The leader's view: plain runners that were heard lately and don't leave; the groups that
-    /// serve or retire, each with its head.
+    /// Returns the leader's view: plain runners that are present and not leaving, and the groups
+    /// that serve or retire, each with its head.
     [[nodiscard]] view_content build(instant now, const fleet_configuration& configuration,
                                      const group_plan::group_map& groups) const;
 
@@ -31,7 +31,7 @@
                            view_content& out) const;
     void add_groups(instant now, const fleet_configuration& configuration,
                     const group_plan::group_map& groups, view_content& out) const;
-    /// Marks those among runners that could stand in for each other that are better avoided.
+    /// Marks the runners to avoid among `peers`, which are interchangeable runners.
     void mark_health(instant now, const std::vector<runner_id>& peers, view_content& out) const;
 
     duration heartbeat_;
@@ -40,9 +40,9 @@
     const fleet_state& state_;
 };
 
-/// The view that a control daemon gives to an entry daemon that has none, while no leader is known:
-/// what its log holds for certain. It may be older than what a leader would tell; runners refuse
-/// requests that don't fit, so age costs retries and breaks no rule.
+/// Returns the view that a control daemon sends to an entry daemon without a view while no leader
+/// is known: the committed state of its log. It may be older than a leader's view. Runners refuse
+/// requests that don't match their state, so an outdated view causes retries but violates no rule.
 [[nodiscard]] view_content build_provisional_view(const fleet_state& state,
                                                   const fleet_configuration& configuration);
 
--- a/include/cedarpoint/fleet/weight_staging.h
+++ b/include/cedarpoint/fleet/weight_staging.h
@@ -15,30 +15,32 @@
 
 namespace cedarpoint {
 
-/// One runner that is to copy a model's weights to its host.
+/// An order to one runner to copy a model's weights to its host.
 struct staging_order {
     runner_id runner;
     model_id model;
 };
 
-/// Runners that can join for a model without the weight store.
+/// Numbers of runners that can join for a model without the weight store.
 struct ready_counts {
     std::size_t now = 0;
-    std::size_t soon = 0; ///< once the weights under way have arrived
+    std::size_t soon = 0; ///< in addition, once the transfers in progress are complete
 };
 
-/// Chooses which runners copy which weights to their hosts ahead of need. First what free runners
-/// lack for their next groups, by the worth of a group for each second of loading; then something
-/// for each without any weights; last, as far as the store has room, a second model for runners
-/// that serve. A runner joins again for the model it has loaded at once and for the one on its host
-/// within seconds, so that a group of either can be formed of it. Keeps to the store's rate; groups
-/// that are loading go first. Remembers what is under way.
+/// Chooses which runners copy which weights to their hosts in advance. In order of priority:
+/// weights that free runners lack for their next groups, by the group's value per second of
+/// loading; one model for each free runner without any weights; and, while the store has spare
+/// capacity, a second model for runners that serve. A runner can rejoin at once for its loaded
+/// model and within seconds for the model on its host, so that groups of either model can be formed
+/// with it. Stays within the store's rate, and groups that are loading take precedence. Tracks the
+/// transfers in progress.
 class weight_staging {
 public:
     using runner_list = std::vector<const runner_snapshot*>;
 
     void clear() { under_way_.clear(); }
-    /// Forgets what has arrived, what is overdue, and runners that are gone.
+    /// Removes transfers that are complete, unanswered or overdue, and those of runners that the
+    /// registry no longer has.
     void forget_finished(instant now, const runner_registry& registry);
     void on_order_result(instant now, const runner_id& runner, const model_id& model,
                          order_result result);
@@ -48,7 +50,7 @@
     }
     [[nodiscard]] std::size_t count() const { return under_way_.size(); }
 
-    /// The orders to give now; they count as under way, and as begun at `loads`.
+    /// Returns the orders to give now, and records them as in progress and as begun in `loads`.
     [[nodiscard]] std::vector<staging_order> plan(instant now, const placement_snapshot& in,
                                                   load_limiter& loads);
 
@@ -59,7 +61,7 @@
     struct transfer {
         model_id model;
         instant overdue_at;
-        std::optional<instant> unanswered_until; ///< empty once the runner took the order
+        std::optional<instant> unanswered_until; ///< empty once the runner has accepted the order
         std::optional<instant> repeat_at;        ///< when to send the order again
     };
     struct plan_step;
@@ -67,34 +69,38 @@
 
     void repeat_unanswered(plan_step& step);
 
-    /// Free runners: what lacks for their next groups.
+    /// Stages the weights that free runners lack for their next groups.
     void complete_groups(plan_step& step, const fleet_service& service,
                          const std::vector<const engine_model*>& models);
-    /// The group of these runners that is worth most; its runners are taken out of `left`.
+    /// Returns the completion with the highest value among the runners in `left`, and removes its
+    /// runners from `left`.
     [[nodiscard]] std::optional<completion>
     find_completion(const placement_snapshot& in, const fleet_service& service,
                     const std::vector<const engine_model*>& models, const fabric_domain_id& domain,
                     runner_list& left) const;
-    /// What lacks where groups of models with room could be retired for the first of `models`.
+    /// Stages weights of the first of `models` where groups of models with spare capacity could be
+    /// retired for it.
     void prepare_conversion(plan_step& step, const fleet_service& service,
                             const std::vector<const engine_model*>& models);
-    /// Free runners, and those of groups that could be retired for the first of `models`.
+    /// Returns free runners, and members of groups that could be retired for the first of `models`,
+    /// by fabric domain.
     [[nodiscard]] static std::map<fabric_domain_id, runner_list>
     find_takeable(const placement_snapshot& in, const fleet_service& service,
                   const std::vector<const engine_model*>& models);
     void stage_empty_runners(plan_step& step, const fleet_service& service,
                              const std::vector<const engine_model*>& models);
     using model_counts = std::map<model_id, std::size_t>;
-    /// Runners of the domain by the model that each has loaded, or holds.
+    /// Counts the domain's runners by model: the one loaded, else the one in transfer, else the one
+    /// on the host.
     [[nodiscard]] model_counts count_held(const placement_snapshot& in,
                                           const fabric_domain_id& domain) const;
-    /// The part of a domain's runners that hold the model, or a least value.
+    /// Returns the fraction of a domain's runners that hold the model, with a lower bound.
     [[nodiscard]] static double home_factor(const model_counts& held, const model_id& model);
-    /// A second model for runners that serve another one.
+    /// Stages the model on runners that serve another one and hold no second model.
     void stage_alternates(plan_step& step, const fleet_service& service, const engine_model& model);
     [[nodiscard]] bool will_have(const runner_snapshot& runner, const engine_model& model) const;
     [[nodiscard]] bool may_load(const plan_step& step) const;
-    /// The same for weights that nothing waits for.
+    /// The same for weights that no group waits for.
     [[nodiscard]] bool may_load_ahead(const plan_step& step) const;
     void begin(plan_step& step, const runner_snapshot& runner, const engine_model& model);
 
