--- a/include/cedarpoint/fleet/runner_registry.h
+++ b/include/cedarpoint/fleet/runner_registry.h
@@ -16,7 +16,7 @@
     instant heard;        ///< time of the latest heartbeat or probe answer
     bool assumed = false; ///< taken from the replicated state; no heartbeat received by this leader
     bool superseded = false; ///< another runner has permanently taken its address
-    bool dead = false;       ///< another runner answered at its address, or announced itself there
+    bool dead = false;       ///< another runner answered at its address
     /// Time of the latest probe answer. Unlike a heartbeat, which may arrive seconds late, an
     /// answer proves that the runner was reachable.
     std::optional<instant> answered;
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -6,15 +6,15 @@
 namespace cedarpoint {
 namespace {
 
-/// Probes in a row without an answer until a runner is unresponsive. One may be a lost packet.
-/// With the probe interval of 400 ms this takes about 0.7 s.
+/// Consecutive unanswered probes after which a runner counts as unresponsive. One alone may be a
+/// lost packet. At the probe interval of 400 ms this takes about 0.7 s.
 constexpr int probes_to_unresponsive = 2;
 
-/// A silent, unresponsive member of a group without traffic is given up once the head's streams
-/// have been quiet for this long.
+/// A silent, unresponsive member of a group without traffic counts as failed when the head's
+/// streams have carried no bytes for this long.
 constexpr duration idle_grace = seconds{2};
 
-/// True if the runner reports to be in this group, under the group's epoch.
+/// Returns true if the runner reports to be in this group, under the group's epoch.
 bool reports_membership(const runner_record& record, const planned_group& group)
 {
     const auto& membership = record.latest.membership;
@@ -32,8 +32,8 @@
 
 void failure_detector::on_probe_failed(const runner_id& runner, bool refused)
 {
-    // A reset comes at once, so there is no second probe to wait for. It proves no end, though:
-    // connections are refused at a network cut as well.
+    // A refusal is an immediate answer, so a second probe would add nothing. It does not prove that
+    // the runner has ended: a network partition can refuse connections as well.
     missed_probes_[runner] += refused ? probes_to_unresponsive : 1;
 }
 
@@ -55,7 +55,7 @@
 
 bool failure_detector::is_silent(instant now, const runner_record& record) const
 {
-    // Half an interval more than between two heartbeats, for the time on the way.
+    // Half an interval is added for transmission delays.
     return now - record.heard > options_.heartbeat * 3 / 2;
 }
 
@@ -66,7 +66,7 @@
     if (record == nullptr || !registry_.is_present(*record)) {
         return member_state::lost;
     }
-    // While a group forms, its members have not all taken the order to join yet.
+    // While a group forms, some members have not accepted the order to join yet.
     if (group.phase != plan_phase::joining && !reports_membership(*record, group)) {
         return member_state::lost;
     }
@@ -80,7 +80,7 @@
 {
     const auto* record = registry_.find(member);
     if (record == nullptr) {
-        return "not heard in this term";
+        return "no heartbeat in this term";
     }
     if (record->dead) {
         return "another runner answered at its address";
@@ -91,9 +91,9 @@
     const auto& membership = record->latest.membership;
     const auto where = membership ? "group " + membership->group.str() : std::string{"no group"};
     if (record->assumed) {
-        return fmt::format("the log has it in {}, not heard in this term", where);
+        return fmt::format("the log has it in {}, no heartbeat in this term", where);
     }
-    return fmt::format("reports {} in heartbeat {}, heard {} ms ago", where,
+    return fmt::format("reports {} in heartbeat {}, last contact {} ms ago", where,
                        record->latest.sequence, to_ms(now - record->heard));
 }
 
@@ -108,12 +108,13 @@
 bool failure_detector::has_failed(instant now, const planned_group& group, const runner_id& member,
                                   const runner_health& head) const
 {
-    // Where streams stall, one missed probe names the member that caused it.
+    // If streams stall, one missed probe identifies the member that caused it.
     if (head.stalled && is_suspected(member)) {
         return true;
     }
-    // Where they don't, or there are none, the member must be silent and unresponsive as well: a
-    // group whose streams move has all its members, whatever the leader hears.
+    // Otherwise the member must be silent and unresponsive, and the streams must have stalled or
+    // been idle: a group whose streams progress has all its members, even if the leader gets no
+    // heartbeat from them.
     const bool silent =
         state_of(now, group, member) == member_state::silent && is_unresponsive(member);
     return silent && (head.stalled || head.since_byte > idle_grace);
@@ -121,8 +122,9 @@
 
 bool failure_detector::is_head_unreachable(instant now, const planned_group& group) const
 {
-    // Members that are unreachable together with their head may be behind a cut, where the group
-    // goes on. So tries count only after a member had answered: at that time the way was open.
+    // Members that are unreachable together with their head may be behind a network partition,
+    // where the group continues to serve. So a connection check counts only if it began after the
+    // latest answer of a member, which shows that the group was reachable at that time.
     if (group.answered.empty()) {
         return false;
     }
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -9,7 +9,7 @@
 namespace cedarpoint {
 namespace {
 
-/// A runner that was silent for this long is forgotten.
+/// A runner without a heartbeat or answer for this long is removed from the registry.
 constexpr duration forget_after = seconds{60};
 
 planner_step make_record(std::string command)
@@ -48,7 +48,8 @@
     rate_limits_.clear(term);
     quarantine_.clear();
     for (const auto& request : state_.lifted()) {
-        quarantine_.on_lifted(now, request); // daemons may report again what was before
+        // Entry daemons may report crashes from before the lifting again.
+        quarantine_.on_lifted(now, request);
     }
     view_ = {};
     viewed_version_ = 0;
@@ -118,7 +119,7 @@
 
 bool fleet_leader::announce(instant now, const announcement& in)
 {
-    // An entry that names a service of nobody must not take the address of a runner in use.
+    // A heartbeat that names an unconfigured service must not take the address of a runner in use.
     const auto earlier_owner = registry_.find_other_owner(in);
     const bool is_known = !configuration_ || configuration_->find_service(in.service) != nullptr;
     if ((!is_known && earlier_owner) || !registry_.announce(now, in)) {
@@ -173,7 +174,7 @@
     }
     const auto told = life == birth{} ? record->latest.born : life;
     if (told < record->latest.born) {
-        return; // an earlier life has said so
+        return; // the answer came from an earlier life
     }
     const auto [found, is_first] = drained_.try_emplace(runner, told);
     if (!is_first && std::exchange(found->second, told) == told) {
@@ -217,7 +218,7 @@
     auto out = view_.since(from);
     out.set_term(term_);
     out.set_leading(true);
-    if (planner_.is_settled(now)) { // before that it has not heard from all of them
+    if (planner_.is_settled(now)) { // before that, not all followers have reported
         out.set_followers(static_cast<std::uint32_t>(reports_.count_followers(now)));
     }
     for (const auto& runner : planner_.suspects()) {
@@ -241,8 +242,9 @@
     }
     const auto made_at = clocks_.sent_at(now, follower, in.stamp_us());
     take_crashes(now, follower, decode_crashes(made_at, in.suspected()));
-    // Not counted yet: `cuts` also holds connections that were made while the runner was away, and
-    // a sound request that is sent into those of several runners would be taken for their cause.
+    // `cuts` is not evaluated: it also contains connections that were made while the runner was
+    // down. A sound request that was sent over such connections of several runners would be taken
+    // for the cause of their ends.
     const auto confirmed = in.term() == term_ ? in.version() : 0;
     const auto from = followers_.on_report(now, follower, confirmed, in.behind(), view_.version());
     auto out = make_update(now, from);
@@ -254,7 +256,8 @@
 
 void fleet_leader::take_rate_limits(instant now, const daemon_id& follower, rate_limit_sightings in)
 {
-    // A runner that was forgotten is not taken up again: reports of it would never end.
+    // Reports on runners that are no longer in the registry are dropped, because nothing would ever
+    // remove them.
     std::erase_if(in, [&](const auto& each) { return registry_.find(each.first) == nullptr; });
     rate_limits_.on_report(now, follower, in);
 }
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -8,10 +8,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Bounds what a packed document may unpack to; calls of operators are bounded to 16 MB.
+/// Maximum size of an unpacked document; operators' calls are limited to 16 MB.
 constexpr std::size_t most_document_bytes = 64 << 20;
 
-/// Empty if the address is not valid; the log never holds such a runner.
+/// Returns the runner; empty if the address is invalid, which no record in the log has.
 std::optional<registered_runner> decode(const wire::registration& in)
 {
     const auto address = endpoint::parse(in.address());
@@ -72,7 +72,7 @@
 
 std::optional<std::string> read_document(const wire::accepted_configuration& in)
 {
-    // Logs of earlier versions hold the text itself.
+    // Logs of earlier versions contain the text unpacked.
     return in.packed().empty() ? in.text() : unpack(in.packed(), most_document_bytes);
 }
 
@@ -143,7 +143,7 @@
 
 std::string fleet_state::apply(const std::string& command)
 {
-    // A command that can't be read was written by a later version: it changes nothing here.
+    // An unreadable command was written by a later version; it is ignored.
     wire::fleet_command in;
     if (in.ParseFromString(command)) {
         if (in.has_configuration() && in.configuration().revision() > configuration_.revision()) {
@@ -175,7 +175,7 @@
 
 void fleet_state::note_registration(registered_runner in)
 {
-    // An address belongs to the runner that announced itself there last.
+    // An address belongs to the runner that announced itself there most recently.
     std::erase_if(registrations_,
                   [&](const auto& each) { return each.second.address == in.address; });
     const auto runner = in.runner;
@@ -250,7 +250,8 @@
     if (found == departures_.end()) {
         return nullptr;
     }
-    // Where it is not known which life has left, as in logs of earlier versions, each counts as it.
+    // If the departed life is not known, as in logs of earlier versions, the departure applies to
+    // all lives.
     const auto left = found->second.life;
     const auto registered = registrations_.find(runner);
     const bool lives_on =
--- a/src/fleet/follower_tracker.cpp
+++ b/src/fleet/follower_tracker.cpp
@@ -5,14 +5,14 @@
 namespace cedarpoint {
 namespace {
 
-/// A follower without a report for this long is lost.
+/// A follower that has not reported for this long is lost.
 constexpr duration follower_silence = milliseconds{2500};
 
-/// An update that was not confirmed after this is sent again.
+/// An update that is not confirmed within this time is sent again.
 constexpr duration resend_after = seconds{1};
 
-/// The same for a follower that reports a gap: two reports, so that an update that is under
-/// way may still arrive.
+/// The same for a follower that reports a gap. Two report intervals, so that an update in flight
+/// can still arrive.
 constexpr duration resend_after_gap = milliseconds{400};
 
 } // namespace
--- a/src/fleet/group_conversion.cpp
+++ b/src/fleet/group_conversion.cpp
@@ -10,23 +10,24 @@
 namespace cedarpoint {
 namespace {
 
-/// The utilization of the taking model must fall to this part of what it was, or a conversion is
-/// not worth the seconds without the retired groups.
+/// A conversion must lower the recipient model's utilization below this fraction of its previous
+/// value. A smaller gain does not outweigh the seconds without the retired groups.
 constexpr double largest_remainder = 0.95;
 
-/// Time between the beginnings of two conversions, so that the second sees the first in the reports
-/// of entry daemons, which come every 200 ms.
+/// Minimum time between the starts of two conversions, so that the reports of entry daemons, which
+/// arrive every 200 ms, reflect the first one.
 constexpr duration conversion_interval = milliseconds{300};
 
-/// A conversion that has not formed its groups by then is given up: the longest retirement and some
-/// seconds to join.
+/// Time limit for a conversion to form its groups: the longest retirement plus a few seconds to
+/// join.
 constexpr duration conversion_limit = seconds{12};
 
-/// One of this many runners may be under conversion; one conversion may always be.
+/// No conversion starts while more than one in this many runners is under conversion. So one
+/// conversion may always be in progress.
 constexpr std::size_t runners_per_converted = 8;
 
-/// A model that has got groups by a conversion gives none for this long: the work that the averages
-/// show is older than the conversion.
+/// A model that has received groups by a conversion gives none for this long, because the averaged
+/// load still includes the time before the conversion.
 constexpr duration taker_rest = seconds{5};
 
 using runner_index = std::map<runner_id, const runner_snapshot*>;
@@ -40,10 +41,10 @@
     return out;
 }
 
-/// The groups of one model that serve in one fabric domain, the least used first.
+/// Serving groups of one model by fabric domain, in the order of the plan.
 using domain_groups = std::map<fabric_domain_id, std::vector<const planned_group*>>;
 
-/// What one call of `begin_next` looks at.
+/// The inputs of the search for one pair of models.
 struct search {
     const placement_snapshot& in;
     const runner_index runners;
@@ -52,7 +53,7 @@
     const engine_model& from;
 };
 
-/// The members that can serve the taking model within seconds.
+/// Returns the members that can join for the recipient model within seconds.
 std::set<runner_id> find_ready(const search& at, const planned_group& group)
 {
     std::set<runner_id> out;
@@ -66,7 +67,7 @@
     return out;
 }
 
-/// Groups of the giving model in each failure domain.
+/// Returns the number of the model's groups in each failure domain.
 std::map<failure_domain_id, std::size_t>
 count_by_failure_domain(const search& at, const group_plan& plan, const model_id& model)
 {
@@ -109,7 +110,8 @@
     return out;
 }
 
-/// The fewest groups of the domain that, with its free runners, make room for one group.
+/// Proposes the fewest groups of the domain whose members, together with its free runners, can form
+/// one group of the recipient model.
 conversion_proposal propose_in(const search& at, const fabric_domain_id& domain,
                                const std::vector<const planned_group*>& givers, std::size_t most)
 {
@@ -130,8 +132,8 @@
     return out;
 }
 
-/// True if the giving model has much more room, also without the retired groups, and the busier of
-/// the two is clearly better off afterwards.
+/// Returns true if the donor model has much more spare capacity even without the retired groups,
+/// and the conversion clearly lowers the recipient's utilization.
 bool is_worth_while(const search& at, const conversion_proposal& next)
 {
     const auto taking = at.in.count_with_expected(at.to.name);
@@ -146,8 +148,8 @@
            after < before * largest_remainder;
 }
 
-/// Runners given up for each runner gained; the fewest come first, then failure domains with the
-/// fewest groups of the taking model.
+/// Orders proposals by the number of runners retired per runner gained, then by the number of the
+/// recipient's groups in the failure domain; lower is better.
 auto rank(const conversion_proposal& in, std::size_t taking_there)
 {
     const auto given = in.retired.size() * in.from->group_size;
@@ -174,7 +176,7 @@
     return best;
 }
 
-/// The model with the highest utilization; null if none has any work.
+/// Returns the model with the highest utilization; null if no model has any load.
 const engine_model* find_taker(const placement_snapshot& in, const fleet_service& service)
 {
     const engine_model* out = nullptr;
--- a/src/fleet/group_lifecycle.cpp
+++ b/src/fleet/group_lifecycle.cpp
@@ -8,13 +8,13 @@
 namespace cedarpoint {
 namespace {
 
-/// How long entry daemons get to try the head of a waiting group before its members are ordered
-/// out, which ends the group for good. A try takes up to 300 ms and its result up to 200 ms
-/// to arrive.
+/// Time that entry daemons have to check whether they can connect to the head of a waiting group
+/// before its members are ordered to leave, which ends the group irrevocably. A check takes up to
+/// 300 ms, and its result up to 200 ms to arrive.
 constexpr duration check_patience = milliseconds{900};
 
-/// A group that retires is not looked at for idleness before this: entry daemons learn of it with
-/// the next view and report every 200 ms.
+/// A retiring group is not considered idle before this time: entry daemons learn of the retirement
+/// with the next view and report every 200 ms.
 constexpr duration shortest_retirement = milliseconds{500};
 
 std::string list(const std::vector<runner_id>& members)
@@ -102,8 +102,8 @@
         enter(now, group, plan_phase::serving, "the head is open");
         return;
     }
-    // Only once the group is in the log, so that every later leader knows of it: its head may be
-    // open from then on.
+    // The head is opened only after the group is in the log, so that every later leader knows that
+    // it may be open.
     if (state_.groups().contains(group.name)) {
         outbox_.order(now, group, order_kind::open, group.head());
     }
@@ -113,7 +113,7 @@
 {
     if (detector_.is_in_phase(group, group.head(), member_phase::broken) ||
         detector_.is_in_phase(group, group.head(), member_phase::ready)) {
-        release(now, group, "the head is not open any more");
+        release(now, group, "the head is no longer open");
         return;
     }
     const auto head = reports_.health_of(now, group.head());
@@ -150,10 +150,11 @@
     const auto passed = now - group.since;
     const bool idle = reports_.health_of(now, group.head()).in_flight == 0;
     if (idle && passed >= shortest_retirement) {
-        enter(now, group, plan_phase::releasing, "no request is in flight any more");
+        enter(now, group, plan_phase::releasing, "no requests in flight");
     }
     else if (passed >= options_.retire_limit) {
-        enter(now, group, plan_phase::releasing, "requests are still in flight at the limit");
+        enter(now, group, plan_phase::releasing,
+              "retirement limit reached with requests in flight");
     }
 }
 
@@ -182,8 +183,9 @@
         return;
     }
     if (evidence_.is_head_heard(group)) {
-        // Nobody was ordered out: the group may have gone on behind a cut.
-        enter(now, group, plan_phase::serving, "the head is heard again");
+        // No member was ordered to leave, so the group may have kept serving behind a network
+        // partition.
+        enter(now, group, plan_phase::serving, "the head reports again");
         return;
     }
     probe_unanswered(now, group);
@@ -193,7 +195,7 @@
             fmt::format("no entry daemon of {} reaches the head", reports_.count_followers(now)));
     }
     else if (now - group.since >= check_patience && evidence_.is_some_member_heard(now, group)) {
-        disband(now, group, "members are heard, the head is not");
+        disband(now, group, "members respond, the head does not");
     }
 }
 
@@ -212,7 +214,7 @@
             continue;
         }
         is_empty = false;
-        // A silent member gets the order once it is heard again.
+        // A silent member gets the order after its next heartbeat.
         if (!detector_.is_silent(now, *registry_.find(member))) {
             outbox_.order(now, group, order_kind::leave, member);
         }
@@ -331,12 +333,12 @@
         !outbox_.is_of_this_term(order)) {
         return;
     }
-    // "Unfit" is the answer of a runner that is in no such group. No page says that nothing else
-    // is, so it counts once the runner's heartbeats say the same.
+    // A runner that is not in the group answers "unfit". The platform's documentation does not rule
+    // out other reasons, so the answer counts only if the runner's heartbeats agree.
     const bool unfit = result == order_result::unfit &&
                        detector_.state_of(now, *group, order.to) == member_state::lost;
     const bool left = order.kind == order_kind::leave && (result == order_result::taken || unfit);
-    // An order that was overtaken by its own repetition is refused as well.
+    // An order that arrives after its own repetition is refused as well, so only the latest counts.
     const bool fenced = order.kind == order_kind::join && result == order_result::fenced &&
                         outbox_.is_latest(order);
     if (left) {
--- a/src/fleet/group_placement.cpp
+++ b/src/fleet/group_placement.cpp
@@ -9,23 +9,24 @@
 namespace cedarpoint {
 namespace {
 
-/// What a runner needs to join again for the model that it joined for last: its weights are loaded.
-/// The engines' published figure; the configuration does not hold it.
+/// Time for a runner to rejoin for the model that it has loaded. The engines publish this figure;
+/// the configuration does not contain it.
 constexpr duration rejoin_time = milliseconds{200};
 
-/// Cost of a second until a group's last member has joined, in shares of the wanted groups: a group
-/// that takes 16 s to load costs as much as half of a model's groups being there already.
+/// Cost of each second until a group's last member has joined, as a fraction of the model's target
+/// groups. A load time of 16 s costs as much as having about half of the target groups already.
 constexpr double cost_per_second = 0.03;
 
-/// Costs of a group before there is work, in shares of the model's wanted groups: of each group of
-/// the model that its failure domain has already, of a fabric domain that has none yet, and of each
-/// runner that is left without a group. So each failure domain gets every model, and a fabric
-/// domain one model as far as that goes: the survivors of two of its groups make a third.
+/// Costs of a group before the first request, as fractions of the model's target groups: for each
+/// group of the model already in the failure domain, for a fabric domain without a group of the
+/// model, and for each runner left without a group. They give each failure domain every model, and
+/// each fabric domain a single model where possible, so that the survivors of two of its groups can
+/// form a third.
 constexpr double cost_of_same_failure_domain = 0.05;
 constexpr double cost_of_new_domain = 0.1;
 constexpr double cost_of_stranded = 0.2;
 
-/// The advantage of a model's first group: above all costs, so that each model is served.
+/// Bonus for a model's first group, larger than all costs, so that each model is served.
 constexpr double advantage_of_first_group = 10;
 
 duration join_time(const runner_snapshot& runner, const engine_model& model)
@@ -36,7 +37,8 @@
     return has_staged(*runner.latest, model.name) ? model.warm_time : model.load_time;
 }
 
-/// The fewest of `runners` that are left over when groups of the service are formed of the others.
+/// Returns the smallest number of `runners` that remain unused when the others form groups of the
+/// service.
 std::size_t count_stranded(const fleet_service& service, std::size_t runners)
 {
     std::vector<bool> reachable(runners + 1, false);
@@ -52,7 +54,8 @@
     return runners - most;
 }
 
-/// Before there is work: the model that has the least part of its wanted groups goes first.
+/// The cost before the first request: the model with the lowest fraction of its target groups comes
+/// first.
 double initial_cost(const placement_snapshot& in, const proposed_group& next, std::size_t free)
 {
     const auto groups = static_cast<double>(in.count_groups(next.model->name));
@@ -68,8 +71,8 @@
            (groups == 0 ? advantage_of_first_group : 0);
 }
 
-/// What a group costs, in shares of a model's groups, less what it is worth. Once there is work,
-/// the model that is shortest of room goes first.
+/// The cost of a group minus its value, as a fraction of the model's target groups. Once there is
+/// traffic, the model with the highest utilization comes first.
 double placement_cost(const placement_snapshot& in, const proposed_group& next, std::size_t free,
                       duration until_joined)
 {
@@ -83,15 +86,16 @@
               const engine_model& model)
 {
     const bool kept_for_other = runner.kept_for != nullptr && *runner.kept_for != model.name;
-    // While weights are copied to its host a runner can only join for the model it has loaded.
+    // While weights are copied to its host, a runner can join only for the model that it has
+    // loaded.
     return runner.latest->service == service.name && !kept_for_other &&
            (has_loaded(runner, model) || !runner.staging);
 }
 
-/// A runner that could join, in the order in which runners are chosen.
+/// A runner that could join, with its rank in the selection order.
 struct candidate {
     duration time{};                      ///< until it has joined
-    const engine_model* loaded = nullptr; ///< another model, whose loaded weights it gives up
+    const engine_model* loaded = nullptr; ///< another model, whose loaded weights it would lose
     runner_id runner;
 
     [[nodiscard]] auto rank() const { return std::tuple{time, loaded != nullptr, runner}; }
@@ -105,8 +109,8 @@
     return found == models.end() ? nullptr : &*found;
 }
 
-/// The model whose loaded weights the runner gives up if it joins; null if it gives up none, or if
-/// a conversion has decided that it does.
+/// Returns the model whose loaded weights the runner would lose by joining; null if it would lose
+/// none, or if a conversion has already decided on the switch.
 const engine_model* find_given_up(const runner_snapshot& runner, const fleet_service& service,
                                   const engine_model& model)
 {
@@ -131,8 +135,8 @@
     return out;
 }
 
-/// Once there is work no group waits for weights, and runners change their model only for one that
-/// is much shorter of room.
+/// Once there is traffic, no group waits for weights, and runners switch only to a model with a
+/// much higher utilization.
 bool is_worth_joining(const placement_snapshot& in, const fleet_service& service,
                       const engine_model& model, const std::vector<candidate>& members)
 {
--- a/src/fleet/group_planner.cpp
+++ b/src/fleet/group_planner.cpp
@@ -9,12 +9,12 @@
 namespace cedarpoint {
 namespace {
 
-/// An epoch is the leader's term above this many bits of a counter, so that it is above all epochs
-/// of earlier leaders.
+/// An epoch consists of the leader's term and, in this many low bits, a counter. So it is higher
+/// than all epochs of earlier leaders.
 constexpr unsigned term_shift = 20;
 
-/// The fleet counts as announced once no new runner was heard for this long: before that,
-/// runners of a domain may be given to the wrong model.
+/// The fleet counts as announced when no new runner has announced itself for this long. Groups
+/// formed earlier may assign a domain's runners to the wrong model.
 constexpr duration start_quiet_time = milliseconds{700};
 
 epoch make_epoch(std::uint64_t term, std::uint64_t number)
@@ -94,7 +94,7 @@
     if (configuration_ == nullptr) {
         return {};
     }
-    // Groups in the log say that the fleet has served before this term.
+    // Groups in the log mean that the fleet has served before this term.
     loads_.set_unmetered(!reports_.has_traffic() && !took_over_groups_);
     if (is_settled(now)) {
         recovery_.adopt_reported_groups(now, *configuration_);
@@ -109,8 +109,8 @@
 
 bool group_planner::has_heard_fleet(instant now) const
 {
-    // Which models the fabric domains prefer depends on all runners: groups that are formed before
-    // the others are heard may hold runners of the wrong model.
+    // The models that fabric domains prefer depend on all runners, so groups formed before all have
+    // announced themselves may use runners that suit another model.
     const auto latest = registry_.latest_news();
     return reports_.has_traffic() || !latest || now - *latest >= start_quiet_time;
 }
@@ -120,7 +120,7 @@
     staging_.forget_finished(now, registry_);
     auto in = take_snapshot(now);
     if (conversions_.forget_finished(now, in)) {
-        in = take_snapshot(now); // it points to the models that conversions keep runners for
+        in = take_snapshot(now); // the removed conversions invalidated its pointers
     }
     if (in.has_traffic && convert_groups(now, in)) {
         in = take_snapshot(now);
@@ -164,7 +164,7 @@
     lifecycle_.begin(now, std::move(group));
 }
 
-// --- what placement decides from ----------------------------------------------------------------
+// --- input of placement -------------------------------------------------------------------------
 
 bool group_planner::is_usable(const runner_record& record) const
 {
@@ -257,7 +257,7 @@
     return out;
 }
 
-// --- the log's summary --------------------------------------------------------------------------
+// --- summary for the log ------------------------------------------------------------------------
 
 std::string group_planner::summary(instant now) const
 {
--- a/src/fleet/group_targets.cpp
+++ b/src/fleet/group_targets.cpp
@@ -6,16 +6,17 @@
 namespace cedarpoint {
 namespace {
 
-/// A model without a share of the work still counts with this much, so that it gets a group.
+/// Minimum share of a model, so that a model without a share of the work still gets a group.
 constexpr double smallest_share = 0.01;
 
-/// The utilization of a model without any group, whose work can't be measured: short of room.
+/// Assumed utilization of a model without any group, whose load can't be measured: short of
+/// capacity.
 constexpr double utilization_without_group = 4;
 
-/// A model below this utilization is not short of room.
+/// A model below this utilization is not short of capacity.
 constexpr double utilization_to_take = 0.4;
 
-/// A model takes runners from another one whose utilization is lower by this factor.
+/// A model takes runners only from a model whose utilization is lower by at least this factor.
 constexpr double least_gap = 2;
 
 std::size_t count_usable(const placement_snapshot& in, const fleet_service& service)
--- a/src/fleet/leader_recovery.cpp
+++ b/src/fleet/leader_recovery.cpp
@@ -8,8 +8,8 @@
 namespace cedarpoint {
 namespace {
 
-/// The groups of the log, oldest epoch first. A member that has left a group may be in a later one
-/// while the earlier one is still in the log, because its head was not heard.
+/// Returns the groups in the log, lowest epoch first. A member that has left a group may be in a
+/// later one while the earlier one is still in the log, because its head could not be reached.
 std::vector<const formed_group*> groups_by_epoch(const fleet_state& state)
 {
     std::vector<const formed_group*> out;
@@ -21,7 +21,7 @@
     return out;
 }
 
-/// The membership of each runner that is in a group of the log: the latest one.
+/// Returns the latest membership of each runner that is in a group in the log.
 std::map<runner_id, group_membership> memberships_in_log(const fleet_state& state)
 {
     std::map<runner_id, group_membership> out;
@@ -95,7 +95,8 @@
     if (plan_.is_freed(record.latest)) {
         return false;
     }
-    // An open head comes before what the plan says of it; any other member follows the plan.
+    // The report of an open head overrides the plan; for any other member the plan takes
+    // precedence.
     const bool may_be_open = membership->rank == 0 && (membership->phase == member_phase::open ||
                                                        membership->phase == member_phase::closing);
     return may_be_open || !plan_.is_bound(record.latest.id);
@@ -121,7 +122,8 @@
         const auto* model = configuration.find_model(group.service, group.model);
         const bool whole = model != nullptr && by_rank.size() == model->group_size;
         if (by_rank.begin()->first != 0) {
-            group.members.push_back(head_of(group.name)); // it has not been heard yet
+            // No heartbeat of the head has arrived yet.
+            group.members.push_back(head_of(group.name));
         }
         for (const auto& [rank, runner] : by_rank) {
             group.members.push_back(runner);
--- a/src/fleet/planner_outbox.cpp
+++ b/src/fleet/planner_outbox.cpp
@@ -5,13 +5,13 @@
 namespace cedarpoint {
 namespace {
 
-/// A fence is the leader's term above this many bits of a counter of its orders. So each order has
-/// a higher fence than all before it, and a runner that has taken a later one refuses an earlier
-/// one that is carried out late. Wide enough for an order each millisecond for 49 days in one term,
-/// and for two million terms below the 2^53 that a JSON number holds exactly.
+/// A fence consists of the leader's term and, in this many low bits, a counter of its orders. So
+/// each order has a higher fence than all earlier ones, and a runner that has accepted a later
+/// order refuses a delayed earlier one. The width allows for one order per millisecond for 49 days
+/// in one term, and for two million terms below 2^53, up to which a JSON number is exact.
 constexpr unsigned fence_shift = 32;
 
-/// True if `key` was noted less than `interval` ago; notes it otherwise.
+/// Returns true if `key` was recorded less than `interval` ago; otherwise records it with `now`.
 template <class Key>
 bool is_too_soon(std::map<Key, instant>& noted, const Key& key, instant now, duration interval)
 {
--- a/src/fleet/runner_registry.cpp
+++ b/src/fleet/runner_registry.cpp
@@ -3,11 +3,12 @@
 namespace cedarpoint {
 namespace {
 
-/// An address may pass to another runner that is heard there once its owner was silent for this
-/// long; a heartbeat that was held up for less does not take an address back.
+/// Another runner that announces an address may take it over when the owner has been silent for
+/// this long. A heartbeat that was delayed by less does not take an address back.
 constexpr duration owner_silence = seconds{4};
-/// Before that, only to a runner that has just begun: its heartbeats are numbered up to this. A
-/// higher number may be a heartbeat that was held up, of a runner that ended before.
+/// Before that, a runner that is new to the registry may take it over only with a heartbeat number
+/// of at most this. A higher number may belong to a delayed heartbeat of a runner that has ended. A
+/// runner whose present life is already in the registry may take it over at once.
 constexpr std::uint64_t young_sequence = 3;
 
 } // namespace
@@ -31,7 +32,8 @@
     if (!has_other_owner(in)) {
         return true;
     }
-    // A heartbeat that was held up for seconds may come from one that ended before the owner began.
+    // A heartbeat that was delayed by seconds may come from a runner that ended before the owner
+    // started.
     const auto* other = find(owners_.at(in.address));
     const bool owner_speaks = other != nullptr && now - other->heard < owner_silence;
     return !owner_speaks || (news ? in.sequence <= young_sequence : true);
@@ -45,7 +47,7 @@
     if (begins_life) {
         latest_news_ = now;
         give_up_address(record, in);
-        record = {}; // what was known of an earlier life says nothing of this one
+        record = {}; // the record of an earlier life does not apply to this one
     }
     else if (in.number() <= record.latest.number() || record.superseded) {
         return false;
--- a/src/fleet/view_builder.cpp
+++ b/src/fleet/view_builder.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// A plain runner that was not heard for this many heartbeats is left out of the view.
+/// A plain runner without contact for this many heartbeat intervals is omitted from the view.
 constexpr int heartbeats_to_lose = 3;
 
 /// `Runner` is an `announcement` or a `registered_runner`.
@@ -30,7 +30,7 @@
     return {in.name, in.assignment, in.service, in.model, in.members, accepting};
 }
 
-/// True if requests go to the service's runners themselves, not to heads of groups.
+/// Returns true if requests go to the service's runners directly rather than to heads of groups.
 bool is_plain(const fleet_service* service)
 {
     return service == nullptr || !service->engine;
--- a/src/fleet/weight_staging.cpp
+++ b/src/fleet/weight_staging.cpp
@@ -9,24 +9,25 @@
 namespace cedarpoint {
 namespace {
 
-/// Weights that have not arrived after this many times their load time are taken for lost, and the
+/// A transfer that is not complete after this many times the load time counts as failed, and the
 /// runner may be chosen again.
 constexpr int load_times_to_overdue = 2;
 
-/// An order that was not answered with success is sent again after the first, and the runner counts
-/// as one without weights under way after the second: until then it holds a place of the store.
+/// An order that has failed or was not answered is sent again after `repeat_interval`. After
+/// `unanswered_limit` without success the transfer is dropped; until then it occupies one of the
+/// store's concurrent loads.
 constexpr duration repeat_interval = seconds{1};
 constexpr duration unanswered_limit = seconds{6};
 
-/// The least factor on the worth of a group of a model that few runners of the fabric domain hold.
-/// Survivors of two groups of one model make a third without the store, so a domain keeps to its
-/// model.
+/// Lower bound of the factor by which a group's value is reduced if few runners of the fabric
+/// domain hold its model. It favours one model in each domain, because the survivors of two groups
+/// of one model can form a third without the store.
 constexpr double least_home_factor = 0.1;
 
-/// Stands for the work of a group that lacks no weights, so that its worth is finite.
+/// Added to the load time, so that the value of a group that lacks no weights is finite.
 constexpr double shortest_work_s = 0.1;
 
-/// The service's models, the one that is shortest of room first.
+/// Returns the service's models by falling utilization.
 std::vector<const engine_model*> by_utilization(const placement_snapshot& in,
                                                 const fleet_service& service)
 {
@@ -42,7 +43,7 @@
     return out;
 }
 
-/// True if the runner serves one model and its host holds no weights of another.
+/// Returns true if the runner serves a model and its host holds no weights of another one.
 bool lacks_alternate(const runner_snapshot& runner)
 {
     const auto& staged = runner.latest->staged;
@@ -51,8 +52,8 @@
                        [&](const model_id& model) { return model == *runner.last_model; });
 }
 
-/// What a completion is worth for each second that the store works for it: the part of the slots
-/// that the model's work takes, over the time of the loads. Without any load it goes before all.
+/// Returns the value of a completion per second of loading from the store: the model's utilization
+/// divided by the total load time. Without any load it is finite because of `shortest_work_s`.
 double completion_worth(const placement_snapshot& in, const fleet_service& service,
                         const engine_model& model, std::size_t lacking)
 {
@@ -72,7 +73,7 @@
 
 } // namespace
 
-/// What one call of `plan` works with.
+/// The inputs and the result of one call of `plan`.
 struct weight_staging::plan_step {
     instant now;
     const placement_snapshot& in;
@@ -80,11 +81,11 @@
     std::vector<staging_order> orders;
 };
 
-/// Weights that would complete one group.
+/// The weights that one group lacks.
 struct weight_staging::completion {
     const engine_model* model = nullptr;
     std::vector<const runner_snapshot*> lacking; ///< the runners to stage on
-    double worth = 0;                            ///< the highest goes first
+    double worth = 0;                            ///< the highest is staged first
 };
 
 void weight_staging::forget_finished(instant now, const runner_registry& registry)
@@ -297,7 +298,7 @@
             }
             return taken;
         });
-        // Placement has not formed a group that lacks nothing: it is not worth its runners now.
+        // A group that lacks no weights is left to placement, which has decided against it for now.
         const bool declined = next.lacking.empty() && all_can_join_soon(left, ready, *model);
         if (declined || ready + next.lacking.size() < model->group_size) {
             continue;
