--- a/tests/fleet/conversion_plans_test.cpp
+++ b/tests/fleet/conversion_plans_test.cpp
@@ -1,5 +1,5 @@
-// Capacity that follows the work, against runners that die, are cut off and carry orders out, and
-// leaders that change half-way.
+// Conversion of capacity to the busier model while runners fail or are partitioned and the leader
+// changes during a conversion.
 
 #include "fleet/planner_world.h"
 
@@ -12,8 +12,8 @@
 using testing_support::planner_world;
 using testing_support::told;
 
-/// Two fabric domains in each of two failure domains; both models are served, and the hosts of
-/// those that serve one model hold the other one's weights.
+/// Two fabric domains in each of two failure domains. Both models are served, and the hosts of
+/// runners that serve one model hold the weights of the other.
 class a_fleet_whose_work_changes : public testing::Test {
 protected:
     a_fleet_whose_work_changes()
@@ -24,7 +24,7 @@
         world.work = {{"large", 20}, {"small", 20}};
         world.run(seconds{14});
     }
-    /// Lets time pass until a group is being converted.
+    /// Runs until another group is being converted.
     void run_until_converting()
     {
         const auto before = world.groups_converted();
@@ -102,7 +102,7 @@
     world.work["large"] = 120;
     const auto before = world.alive();
     run_until_converting();
-    // Any member that no longer serves is under conversion.
+    // Any runner that is in no group now is under conversion.
     for (const auto& runner : before) {
         if (world.group_of(runner).empty()) {
             world.kill(runner);
--- a/tests/fleet/failure_detector_test.cpp
+++ b/tests/fleet/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-// When the leader takes a runner for silent, suspected, failed, or gone.
+// The conditions under which a runner counts as silent, suspected, failed or lost.
 
 #include "cedarpoint/fleet/failure_detector.h"
 
@@ -105,7 +105,7 @@
 {
     detector.on_probe_failed(member, true);
     const auto silent = start + milliseconds{1801};
-    EXPECT_FALSE(fails(silent, moving())) << "all members are there, whatever the leader hears";
+    EXPECT_FALSE(fails(silent, moving())) << "streams that move prove that all members are present";
     auto idle = moving();
     idle.since_byte = seconds{2};
     EXPECT_FALSE(fails(silent, idle));
@@ -124,7 +124,7 @@
     EXPECT_FALSE(detector.is_head_unreachable(now, group)) << "no member has answered";
     group.answered[member] = start + milliseconds{701};
     EXPECT_FALSE(detector.is_head_unreachable(now, group))
-        << "the way may have been cut when it was tried";
+        << "the network may have been partitioned during the check";
     group.answered[member] = start + milliseconds{700};
     EXPECT_TRUE(detector.is_head_unreachable(now, group));
 }
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -1,4 +1,4 @@
-// Real control and entry daemons with runners that speak the platform's words.
+// Real control and entry daemons with simulated runners that use the platform's protocol.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -84,7 +84,7 @@
 
 TEST_F(a_fleet, goes_on_with_a_stream_that_broke_off_within_an_event)
 {
-    // A group of three needs all three: a second one is what the stream goes on at.
+    // Three more runners form a second group, at which the stream can be resumed.
     for (const auto* id : {"i-4", "i-5", "i-6"}) {
         pool.push_back(std::make_unique<platform_runner>(id, "pool", site.controls()));
     }
@@ -101,7 +101,8 @@
     for (const auto& runner : pool) {
         runner->cut_stream = false;
     }
-    // Both heads cut once: the second cut spends the attempts, and the caller sees the break.
+    // Both heads cut the stream once. The second cut uses up the attempts, so the caller sees the
+    // cut.
     EXPECT_EQ(first_cut.end, exchange_end::cut);
     for (const auto& runner : pool) {
         if (runner->is_open()) {
@@ -163,7 +164,8 @@
     EXPECT_EQ(site.get(), document(10));
 }
 
-// What was seen, and how it came about: see `a_runner_that_starts_again_under_its_id`.
+// Guards against refusing the heartbeats of a runner's new life because the old life's numbers were
+// higher; see `a_runner_that_starts_again_under_its_id`.
 TEST_F(a_fleet, serves_with_a_runner_that_starts_again_under_its_id)
 {
     shop.clear();
@@ -227,7 +229,7 @@
     EXPECT_LT(steady_now() - asked, milliseconds{300});
 }
 
-// Guards against callers who wait for as long as a runner wants to be left alone by one daemon.
+// Guards against passing a runner's `Retry-After`, which is meant for one daemon, on to the caller.
 TEST_F(a_fleet, passes_a_failure_on_without_the_pause_that_was_asked_of_the_daemon)
 {
     ASSERT_TRUE(serves());
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -1,4 +1,4 @@
-// What the leading control daemon tells its followers, without sockets.
+// Updates from the leading control daemon to its followers, without sockets.
 
 #include "cedarpoint/core/packing.h"
 #include "cedarpoint/fleet/fleet_leader.h"
@@ -97,7 +97,7 @@
     ASSERT_EQ(ask(milliseconds{200}, lost).items_size(), 0) << "it is up to date";
     bool up_to_date = false;
     for (int round = 1; round <= 30 && !up_to_date; ++round) {
-        // A change every 50 ms, and its first push is lost; every push after it does not fit.
+        // A change every 50 ms. The first pushed update is lost, so each later one shows a gap.
         const auto now = start + milliseconds{200} + milliseconds{50} * round;
         const auto version = static_cast<std::uint64_t>(round) + 1;
         state.apply(fleet_state::put_configuration(version, document(2, 10)));
@@ -195,10 +195,9 @@
     return out;
 }
 
-// What was seen: nothing yet; an entry of another writer at the address of a runner in use was
-// taken for the runner that has the address now.
-// How it came about: any service would do, also one that no configuration has.
-// What proved it: the runner in use was no longer its address's owner.
+// Guards against a heartbeat with the address of a runner in use taking over that address although
+// no configuration has the service that it names. The runner in use would then no longer count as
+// present.
 TEST_F(a_leader_with_a_large_configuration, keeps_a_runner_whose_address_a_service_of_nobody_names)
 {
     ASSERT_TRUE(leader.announce(start, heartbeat_of("i-1", "shop", 40)));
@@ -207,11 +206,11 @@
     ASSERT_NE(in_use, nullptr);
     EXPECT_TRUE(leader.registry().is_present(*in_use));
     EXPECT_TRUE(leader.announce(start + seconds{2}, heartbeat_of("i-2", "shop", 1)))
-        << "one of a service that is known may have the address now";
+        << "a runner of a configured service may take over the address";
 }
 
-// Guards against a runner that leaves getting requests from daemons that it has not told itself,
-// because its own heartbeats still say that it is ready.
+// Guards against a leaving runner that still receives requests from daemons that it has not
+// notified itself, because its own heartbeats still report it as ready.
 TEST_F(a_leader_with_a_large_configuration, drains_a_runner_that_has_told_a_daemon_that_it_leaves)
 {
     const runner_id runner{"i-1"};
@@ -232,15 +231,16 @@
     };
     apply_all();
     tell(999);
-    EXPECT_FALSE(state.is_leaving(runner)) << "an earlier life has said so";
+    EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier life";
     tell(1000);
     EXPECT_TRUE(state.is_leaving(runner));
     alive.sequence = 2;
     leader.announce(start + milliseconds{10}, alive);
     leader.begin_term(start + milliseconds{20}, 2);
-    EXPECT_TRUE(state.is_leaving(runner)) << "whatever its heartbeats say, and the next leader";
+    EXPECT_TRUE(state.is_leaving(runner))
+        << "regardless of its heartbeats and of the change of leader";
 
-    // A new life under its id.
+    // The runner restarts under its id.
     alive.born = birth{2000};
     alive.sequence = 1;
     leader.announce(start + milliseconds{30}, alive);
--- a/tests/fleet/fleet_site.cpp
+++ b/tests/fleet/fleet_site.cpp
@@ -24,13 +24,14 @@
     });
 }
 
-/// A port that is free on every address of a site. Test processes run side by side, so each takes
-/// its own below the range from which the kernel gives ports to connections.
+/// Returns a port that is free on every address of a site. Test processes run in parallel, so each
+/// starts at its own port, below the range of the kernel's ephemeral ports.
 std::uint16_t free_port()
 {
     constexpr int first = 12'000;
     constexpr int count = 20'000;
-    constexpr int apart = 101; ///< between the ports that neighbouring processes begin with
+    constexpr int apart =
+        101; ///< distance between the first ports of processes with successive ids
     static int next = static_cast<int>(QCoreApplication::applicationPid() * apart % count);
     for (int tries = 0; tries < count; ++tries) {
         next = (next + 1) % count;
--- a/tests/fleet/fleet_site.h
+++ b/tests/fleet/fleet_site.h
@@ -14,7 +14,7 @@
 
 namespace cedarpoint::testing_support {
 
-/// An answer as a caller reads it.
+/// An answer as received by a caller.
 struct http_answer {
     exchange_end end = exchange_end::cut;
     http_head head;
@@ -36,15 +36,15 @@
     [[nodiscard]] const std::vector<endpoint>& controls() const { return controls_; }
     [[nodiscard]] endpoint callers() const { return *entry_settings_.callers; }
     [[nodiscard]] endpoint ready() const { return *entry_settings_.ready; }
-    /// Puts a document at the leader, wherever that is; the last status.
+    /// Sends a configuration document to the current leader and returns the last status.
     int put(const std::string& document);
-    /// The configuration as the leader reads it; empty while there is none.
+    /// Returns the configuration from the leader; empty while there is none.
     std::string get();
     [[nodiscard]] std::optional<std::size_t> leader();
     void stop_control(std::size_t which);
     void start_control(std::size_t which, bool first);
     [[nodiscard]] bool is_ready();
-    /// The metrics of all control daemons, one after the other.
+    /// Returns the concatenated metrics of all control daemons.
     [[nodiscard]] std::string control_metrics();
     entry_daemon& entry() { return *entry_; }
 
--- a/tests/fleet/group_conversion_test.cpp
+++ b/tests/fleet/group_conversion_test.cpp
@@ -1,4 +1,5 @@
-// When capacity moves from one model to another, on plain snapshots and plans.
+// The conditions for moving capacity from one model to another, on snapshots and plans without a
+// leader.
 
 #include "cedarpoint/fleet/group_conversion.h"
 #include "fleet/snapshot_maker.h"
@@ -16,7 +17,7 @@
 constexpr instant start{seconds{100}};
 
 /// Two fabric domains of one failure domain, each with one large group, two small ones and a free
-/// runner; everyone who serves holds the other model's weights on its host.
+/// runner. Each serving runner has the other model's weights on its host.
 class a_conversion : public testing::Test {
 protected:
     a_conversion()
@@ -107,7 +108,7 @@
         const std::vector<runner_id> members{next->runners.begin(), next->runners.end()};
         conversions.on_formed(next->to->name, members);
         conversions.forget_finished(now, world.snapshot());
-        // What the planner does: the retired groups end, the new one serves.
+        // As the planner does: the retired groups end and the new one serves.
         for (const auto* group : next->retired) {
             plan.find(group->name)->phase = plan_phase::releasing;
             world.count_group(next->domain, small, -1);
@@ -172,7 +173,7 @@
     EXPECT_EQ(conversions.count(), 0U);
     EXPECT_EQ(conversions.kept_for(runner), nullptr);
 
-    // One of its runners is lost: the others make no group.
+    // One of its runners is lost, and the others are too few for a group.
     next = begin(start + seconds{1});
     ASSERT_TRUE(next);
     auto without = world.snapshot();
--- a/tests/fleet/group_evidence_test.cpp
+++ b/tests/fleet/group_evidence_test.cpp
@@ -1,4 +1,4 @@
-// What the leader may conclude of a group's members from the plan and from what they report.
+// What the leader may conclude about a group's members from the plan and from their reports.
 
 #include "cedarpoint/fleet/group_evidence.h"
 
@@ -24,7 +24,7 @@
         hear(start, head, group.name);
         hear(start, member, group.name);
     }
-    /// The runner's next heartbeat, which names `in`; it is in no group if that is empty.
+    /// Delivers the runner's next heartbeat. It names the group `in`, or no group if `in` is empty.
     void hear(instant now, const runner_id& runner, const group_id& in)
     {
         announcement told;
@@ -83,7 +83,7 @@
     free(member);
     auto reborn = registry.find(member)->latest;
     reborn.born = {1'000};
-    reborn.sequence = 1; // an order to join was carried out late, by the life that has just begun
+    reborn.sequence = 1; // the new life carried out a delayed order to join
     ASSERT_TRUE(registry.announce(start, reborn));
     EXPECT_FALSE(plan.is_freed(registry.find(member)->latest));
     EXPECT_TRUE(evidence.is_back(group, member));
--- a/tests/fleet/group_planner_test.cpp
+++ b/tests/fleet/group_planner_test.cpp
@@ -1,4 +1,4 @@
-// The leader's plan against runners that die, fall silent, drain, and carry orders out late.
+// The leader's plan while runners fail, become unreachable, drain, and carry out orders late.
 
 #include "fleet/planner_world.h"
 
@@ -121,7 +121,7 @@
         groups.push_back(world.group_of(everyone[at]));
         world.set_cut(everyone[at], true);
     }
-    world.in_flight = 0; // nobody on this side of the cut uses them
+    world.in_flight = 0; // no entry daemon on the leader's side uses them
     world.run(seconds{7});
     for (std::size_t at = 0; at < 9; ++at) {
         world.set_cut(everyone[at], false);
@@ -153,7 +153,8 @@
     EXPECT_EQ(told(world.broken()), "");
 }
 
-// Issue 23, rule TWO: a head that is not heard may serve on where the leader does not reach.
+// Rule TWO. Guards against giving a member to another group while its head, which the leader can't
+// reach, still serves on the other side of a network partition (issue 23).
 TEST(a_member, is_free_for_another_group_only_once_it_has_itself_left_its_own)
 {
     struct story {
@@ -163,13 +164,13 @@
     const std::vector<story> stories{
         {"no entry daemon on the leader's side reaches the head",
          [](auto& world, const auto& members) { world.set_unreachable(members.front(), true); }},
-        {"a new leader first hears the head's heartbeat from before the group",
+        {"a new leader first receives the head's heartbeat from before the group",
          [](auto& world, const auto& members) {
              world.set_cut(members.front(), true);
              world.change_leader();
              world.deliver_held_back(members.front());
          }},
-        {"a new leader first hears everyone's heartbeat from before the group",
+        {"a new leader first receives every member's heartbeat from before the group",
          [](auto& world, const auto& members) {
              world.set_unreachable(members.front(), true);
              world.change_leader();
@@ -177,7 +178,7 @@
                  world.deliver_held_back(runner);
              }
          }},
-        {"a new leader hears nothing of the head, and the log no longer has its registration",
+        {"a new leader gets no heartbeat of the head, and the log no longer has its registration",
          [](auto& world, const auto& members) {
              world.set_unreachable(members.front(), true);
              world.run(seconds{65});
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which groups are formed of which runners, and which weights are staged, on plain snapshots.
+// Which groups placement forms of which runners, and which weights are staged, on snapshots.
 
 #include "cedarpoint/fleet/group_placement.h"
 #include "cedarpoint/fleet/group_targets.h"
@@ -26,7 +26,8 @@
     {
         return group_placement::propose(start, world.snapshot(), limiter);
     }
-    /// Forms everything that is proposed; the groups of each model by fabric domain.
+    /// Forms groups until none is proposed, and returns the number of groups by fabric domain and
+    /// model.
     std::map<std::pair<fabric_domain_id, model_id>, std::size_t> form_all()
     {
         while (const auto next = propose()) {
@@ -44,7 +45,8 @@
         }
         return out;
     }
-    /// One group of each model serves in another domain, so that their work is known.
+    /// Adds a serving group of each model in another domain, so that the load of both can be
+    /// measured.
     void others_serve()
     {
         world.count_group(fabric_domain_id{"other"}, large, 1);
--- a/tests/fleet/planner_world.cpp
+++ b/tests/fleet/planner_world.cpp
@@ -8,10 +8,10 @@
 
 constexpr duration tick = milliseconds{20};
 constexpr duration heartbeat = milliseconds{1200};
-/// Loads that begin before it take a tenth of their time.
+/// Loads that begin before the first request take a tenth of their time.
 constexpr instant first_request{seconds{1008}};
 constexpr duration time_to_drain = seconds{1};
-constexpr int most_in_flight = 29; ///< that entry daemons send to a group of 26 slots
+constexpr int most_in_flight = 29; ///< that entry daemons have in flight at a group of 26 slots
 
 } // namespace
 
@@ -233,7 +233,7 @@
 
 int planner_world::in_flight_at(const fake_runner& head) const
 {
-    // Entry daemons send nothing new to a group that is retired for another model.
+    // Entry daemons send no new requests to a group that is retired for another model.
     const auto converted = converted_.find(head.told.membership->group);
     if (converted != converted_.end() && now_ - converted->second > time_to_drain) {
         return 0;
--- a/tests/fleet/planner_world_queries.cpp
+++ b/tests/fleet/planner_world_queries.cpp
@@ -1,4 +1,4 @@
-// What a test asks of a `planner_world`: nothing here changes it.
+// The queries of `planner_world`; none of them changes its state.
 
 #include "fleet/planner_world.h"
 
--- a/tests/fleet/random_plans_test.cpp
+++ b/tests/fleet/random_plans_test.cpp
@@ -1,5 +1,6 @@
-// The leader's plan in random runs: runners die, drain, are cut off and carry orders out late,
-// leaders change, heartbeats are held up until then. The rules are checked at every step. By hand:
+// The leader's plan under random faults: runners fail, drain, are partitioned and carry out orders
+// late, leaders change, and heartbeats are delayed past a change of leader. The rules are checked
+// throughout. Manual run:
 //     PLANS_FIRST=1 PLANS_COUNT=2000 build/cedarpoint_tests --gtest_filter='seeds/random_plans*'
 
 #include "fleet/planner_world.h"
@@ -17,10 +18,11 @@
 
 constexpr std::uint64_t kinds_of_harm = 11;
 
-/// The plan's seed, and whether runners check fences: not all engines do.
+/// The seed, and whether runners check fences, which not all engines do.
 class random_plans : public testing::TestWithParam<std::tuple<std::uint64_t, bool>> {
 protected:
-    /// `kinds`: of harm that are drawn; one above the last one suspends the control daemons.
+    /// `kinds`: number of fault kinds to draw from. With `kinds_of_harm` + 1, the control daemons
+    /// are suspended as well.
     static void play(std::uint64_t seed, bool fences, std::uint64_t kinds);
 };
 
@@ -112,7 +114,8 @@
                          testing::Combine(testing::Range(first_seed, first_seed + seed_count),
                                           testing::Bool()));
 
-// A seed that failed once: engines that check no fences carry out an earlier leader's late orders.
+// A seed that has failed before: an engine that checks no fences carried out a delayed order of an
+// earlier leader.
 INSTANTIATE_TEST_SUITE_P(kept, random_plans,
                          testing::Combine(testing::Values<std::uint64_t>(828),
                                           testing::Values(false)));
--- a/tests/fleet/runner_orders_test.cpp
+++ b/tests/fleet/runner_orders_test.cpp
@@ -42,7 +42,7 @@
     int ended = 0;
     bool leads = true;
     birth life{1000};
-    std::vector<birth> left; ///< lives that were heard to leave
+    std::vector<birth> left; ///< lives that announced that they leave
     http_head answer{200, {}};
     http_listener runner{caller_limits{},
                          [this](const http_request&, const std::shared_ptr<http_reply>& reply) {
@@ -59,14 +59,14 @@
     EXPECT_EQ(received, 1);
 }
 
-// Guards against an order that waited for its connection and goes out after the lease has ended.
+// Guards against an order that waited for its connection and is sent after the lease has ended.
 TEST_F(orders_to_a_runner, are_dropped_if_the_lease_has_ended_when_the_connection_is_there)
 {
     give_order();
     leads = false;
     pass_time(milliseconds{300});
     EXPECT_EQ(received, 0);
-    EXPECT_EQ(ended, 0) << "what it came to is not known to the next leader either";
+    EXPECT_EQ(ended, 0) << "the order has no result";
 }
 
 // Guards against orders and probes to a runner that has asked this control daemon for a pause.
@@ -92,7 +92,7 @@
 {
     answer.fields.add("Server-Leaving", "1");
     give_order();
-    life = birth{2000}; // it has begun anew meanwhile
+    life = birth{2000}; // the runner has restarted in the meantime
     EXPECT_TRUE(wait_until([&] { return ended == 1; }));
     EXPECT_EQ(left, std::vector{birth{1000}});
 
--- a/tests/fleet/runner_registry_test.cpp
+++ b/tests/fleet/runner_registry_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_TRUE(registry.announce(start, heartbeat_of("i-1", "10.0.0.1:80", 5)));
 }
 
-/// The same, of the life that began at `born`.
+/// Returns a heartbeat of the life of `i-1` that began at `born`.
 announcement heartbeat_of_life(std::uint64_t born, const std::string& address,
                                std::uint64_t sequence)
 {
@@ -40,10 +40,10 @@
     return out;
 }
 
-// What was seen: a runner whose heartbeats had passed number 5,000 started again under its id at
-// another address; its new life got none of 20 requests a second.
-// How it came about: its heartbeats, numbered from 1, counted as older than those of the life
-// before. What proved it: the registry refused each of them.
+// Guards against refusing the heartbeats of a restarted runner. A runner that had sent 5,000
+// heartbeats restarted under its id at another address and received none of 20 requests per second:
+// its heartbeats, numbered from 1 again, counted as older than those of its earlier life, and the
+// registry refused all of them.
 TEST(a_runner_that_starts_again_under_its_id, is_heard_from_its_first_heartbeat_on)
 {
     runner_registry registry;
--- a/tests/fleet/snapshot_maker.h
+++ b/tests/fleet/snapshot_maker.h
@@ -14,8 +14,8 @@
 inline const model_id large{"large"};
 inline const model_id small{"small"};
 
-/// Makes the snapshots that placement, staging and conversion decide from: one service with the
-/// models `large` (groups of 4) and `small` (groups of 3), 10 slots a group. Runners are named by
+/// Builds the input snapshots of placement, staging and conversion: one service with the models
+/// `large` (groups of 4) and `small` (groups of 3) and 10 slots per group. Runners are indexed in
 /// the order in which they were added.
 class snapshot_maker {
 public:
@@ -23,25 +23,25 @@
 
     void remove_models() { configuration_.services.front().engine->models.clear(); }
     void set_sizes(std::size_t of_large, std::size_t of_small);
-    /// Free runners of one fabric domain, all with the same weights on their hosts. The failure
-    /// domain is the first letter of the fabric domain.
+    /// Adds free runners to one fabric domain, all with the same weights on their hosts. The
+    /// failure domain is the first letter of the fabric domain.
     void add(const std::string& domain, int count, const std::vector<model_id>& staged);
     [[nodiscard]] announcement& runner(std::size_t at) { return announced_.at(at); }
     void set_loaded(std::size_t at, const model_id& model) { loaded_[at] = model; }
     void set_staging(std::size_t at) { staging_.push_back(at); }
     void keep_for(std::size_t at, const model_id& model) { kept_for_[at] = model; }
-    /// The runners serve in a group of the model.
+    /// Makes the runners serve in a group of the model.
     void set_serving(const std::vector<std::size_t>& runners, const model_id& model);
-    /// The proposed group is formed.
+    /// Forms the proposed group.
     void form(const proposed_group& group);
-    /// A group of the model is there, or is there no more; its runners stay as they are.
+    /// Changes the number of the model's groups in the domain; runners are not changed.
     void count_group(const fabric_domain_id& domain, const model_id& model, int change);
-    /// Requests in service and turned away, as `work_average` has them.
+    /// Sets the model's load: requests in service and rejected, as `work_average` reports them.
     void set_work(const model_id& model, double requests);
-    /// A conversion will form that many groups.
+    /// Sets the number of groups that conversions will still form.
     void expect(const model_id& model, std::size_t groups) { expected_[model] = groups; }
 
-    /// Valid until the next call of any member.
+    /// Returns the snapshot, valid until the next call of any member function.
     [[nodiscard]] const placement_snapshot& snapshot();
     [[nodiscard]] std::size_t count_free();
     [[nodiscard]] const fleet_service& pool() const { return configuration_.services.front(); }
