--- a/tests/fleet/conversion_plans_test.cpp
+++ b/tests/fleet/conversion_plans_test.cpp
@@ -9,8 +9,8 @@
 namespace cedarpoint {
 namespace {
 
+using testing_support::join_lines;
 using testing_support::planner_world;
-using testing_support::told;
 
 /// Two fabric domains in each of two failure domains. Both models are served, and the hosts of
 /// runners that serve one model hold the weights of the other.
@@ -45,9 +45,9 @@
 
     world.work["large"] = static_cast<int>(large) * 26;
     world.run(seconds{10});
-    EXPECT_GT(world.serving("large"), large) << "no weights come from the store that soon";
+    EXPECT_GT(world.serving("large"), large) << "weights from the store would take longer";
     EXPECT_LT(world.serving("small"), small);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, converts_nothing_while_both_models_have_room)
@@ -69,8 +69,8 @@
     world.run(seconds{60});
     const auto back = world.groups_converted();
     EXPECT_GT(back, there);
-    EXPECT_LE(back - there, 12U) << "each group once at most";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_LE(back - there, 12U) << "at most once per group";
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, serves_on_when_the_work_turns_half_way)
@@ -82,7 +82,7 @@
         EXPECT_GE(world.serving("large"), 2U) << "one in each failure domain";
         EXPECT_GE(world.serving("small"), 2U);
     }
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, loses_nothing_when_the_leader_changes_half_way)
@@ -93,7 +93,7 @@
     world.change_leader();
     world.run(seconds{15});
     EXPECT_GT(world.serving("large"), large);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, uses_the_others_when_a_runner_under_conversion_dies)
@@ -112,7 +112,7 @@
     world.kill(world.members_of_some_group("small").back());
     world.run(seconds{20});
     EXPECT_GE(world.serving("large") + world.serving("small"), all - 3);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, keeps_the_rules_when_a_cut_comes_in_between)
@@ -124,14 +124,14 @@
         world.set_unreachable(everyone[at], true);
     }
     world.run(seconds{6});
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
     for (std::size_t at = 0; at < everyone.size() / 2; ++at) {
         world.set_unreachable(everyone[at], false);
     }
     world.run(seconds{15});
     EXPECT_GE(world.serving("large"), 3U);
     EXPECT_GE(world.serving("small"), 2U);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 } // namespace
--- a/tests/fleet/failure_detector_test.cpp
+++ b/tests/fleet/failure_detector_test.cpp
@@ -20,10 +20,11 @@
         group.members = {head, member};
         group.phase = plan_phase::serving;
         group.since = start;
-        hear(start, head, 0);
-        hear(start, member, 1);
+        receive_heartbeat(start, head, 0);
+        receive_heartbeat(start, member, 1);
     }
-    void hear(instant now, const runner_id& runner, std::size_t rank, std::uint64_t in_epoch = 7)
+    void receive_heartbeat(instant now, const runner_id& runner, std::size_t rank,
+                           std::uint64_t in_epoch = 7)
     {
         announcement in;
         in.id = runner;
@@ -66,11 +67,11 @@
 
 TEST_F(a_group_under_watch, has_lost_a_member_that_reports_another_epoch)
 {
-    hear(start, member, 1, 8);
+    receive_heartbeat(start, member, 1, 8);
     EXPECT_EQ(detector.state_of(start, group, member), member_state::lost);
     group.phase = plan_phase::joining;
     EXPECT_EQ(detector.state_of(start, group, member), member_state::present)
-        << "while it forms, a member may not have taken the order yet";
+        << "while a group forms, a member may not have accepted the order yet";
 }
 
 TEST_F(a_group_under_watch, has_a_draining_member_once_that_is_in_the_log)
@@ -95,7 +96,7 @@
 
 TEST_F(a_group_under_watch, gives_up_a_suspected_member_at_once_where_streams_stall)
 {
-    EXPECT_FALSE(fails(start, stalled())) << "it may be another member";
+    EXPECT_FALSE(fails(start, stalled())) << "another member may have caused the stall";
     detector.on_probe_failed(member, false);
     EXPECT_TRUE(fails(start, stalled()));
     EXPECT_FALSE(fails(start, moving()));
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -77,7 +77,7 @@
     EXPECT_TRUE(site.is_ready());
     for (const auto& runner : pool) {
         for (const auto& account : runner->accounts) {
-            EXPECT_EQ(account, "till") << "never what the caller wrote there";
+            EXPECT_EQ(account, "till") << "never the name that the caller sent";
         }
     }
 }
@@ -150,7 +150,7 @@
 {
     ASSERT_TRUE(serves());
     ASSERT_EQ(site.put(document(9)), 200);
-    EXPECT_EQ(site.put(document(5)), 200) << "taken, and changes nothing";
+    EXPECT_EQ(site.put(document(5)), 200) << "accepted without effect";
     EXPECT_EQ(site.put(document(9, "other")), 200) << "the same version again changes nothing";
     EXPECT_EQ(site.put(R"({"version":12,"routes":[{"host":"h"}]})"), 400);
     EXPECT_EQ(site.get(), document(9));
@@ -175,7 +175,7 @@
     ASSERT_TRUE(wait_until([&] { return shop[0]->drain_acknowledged(); }));
     shop.clear();
     shop.push_back(std::make_unique<platform_runner>("s-1", "shop", site.controls(), 1'001));
-    EXPECT_TRUE(serves()) << "the drain was of the life before";
+    EXPECT_TRUE(serves()) << "the drain applied to the earlier life";
 }
 
 TEST_F(a_fleet, forms_its_group_anew_when_a_member_or_the_head_starts_again_under_its_id)
@@ -260,7 +260,7 @@
     site.entry().stop();
     EXPECT_FALSE(site.is_ready());
     EXPECT_EQ(call(site.callers(), "GET", "/safe/x", headers, "").head.status, 200)
-        << "callers still come until the balancer has seen it";
+        << "callers still send requests until the balancer has noticed";
     EXPECT_TRUE(wait_until([&] { return stopped; }));
 }
 
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -64,7 +64,7 @@
     ASSERT_EQ(ask(milliseconds{0}, 0).items_size(), 1);
     EXPECT_EQ(ask(milliseconds{200}, 0).items_size(), 0);
     EXPECT_EQ(ask(milliseconds{400}, 0).items_size(), 0);
-    EXPECT_EQ(ask(milliseconds{1100}, 0).items_size(), 1) << "it may be lost by now";
+    EXPECT_EQ(ask(milliseconds{1100}, 0).items_size(), 1) << "after 1 s the update counts as lost";
 }
 
 TEST_F(a_leader_with_a_large_configuration, sends_it_again_to_one_that_misses_it)
@@ -142,7 +142,7 @@
         const auto read = installed_platform().read_configuration(state.document(), why);
         return make_provisional_update(state, *read, index);
     }
-    void hear(const wire::fleet_update& update)
+    void receive_update(const wire::fleet_update& update)
     {
         wire::envelope in;
         in.set_from("10.0.0.1:7000");
@@ -159,29 +159,31 @@
 
 TEST_F(a_follower_without_a_leader, begins_with_what_a_log_holds_for_certain)
 {
-    hear(provisional(5, 40));
+    receive_update(provisional(5, 40));
     EXPECT_EQ(views, 1);
     EXPECT_EQ(follower.view().configuration()->revision(), 5U);
     EXPECT_TRUE(follower.view().items().contains(runner_key("i-1")));
-    EXPECT_EQ(follower.followers(), 0U) << "how many share its limits is not known";
-    hear(provisional(4, 30));
+    EXPECT_EQ(follower.followers(), 0U)
+        << "the number of daemons that share its limits is not known";
+    receive_update(provisional(4, 30));
     EXPECT_EQ(follower.view().configuration()->revision(), 5U) << "an older log changes nothing";
-    hear(provisional(6, 50));
+    receive_update(provisional(6, 50));
     EXPECT_EQ(follower.view().configuration()->revision(), 6U);
 }
 
 TEST_F(a_follower_without_a_leader, takes_any_leaders_view_instead_and_none_from_a_log_after_it)
 {
-    hear(provisional(5, 40));
+    receive_update(provisional(5, 40));
     wire::fleet_update led;
     led.set_term(2);
     led.set_leading(true);
     led.set_reset(true);
     led.set_to(1);
-    hear(led);
+    receive_update(led);
     EXPECT_TRUE(follower.view().items().empty());
-    EXPECT_EQ(follower.view().configuration()->revision(), 5U) << "it never goes back";
-    hear(provisional(9, 90));
+    EXPECT_EQ(follower.view().configuration()->revision(), 5U)
+        << "an older revision is never restored";
+    receive_update(provisional(9, 90));
     EXPECT_EQ(follower.view().configuration()->revision(), 5U);
 }
 
@@ -222,7 +224,7 @@
             state.apply(step.command);
         }
     };
-    const auto tell = [&](std::uint64_t born) {
+    const auto report_leaving = [&](std::uint64_t born) {
         wire::fleet_follow report;
         report.add_leaving()->set_runner("i-1");
         report.mutable_leaving(0)->set_born(born);
@@ -230,9 +232,9 @@
         apply_all();
     };
     apply_all();
-    tell(999);
+    report_leaving(999);
     EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier life";
-    tell(1000);
+    report_leaving(1000);
     EXPECT_TRUE(state.is_leaving(runner));
     alive.sequence = 2;
     leader.announce(start + milliseconds{10}, alive);
--- a/tests/fleet/fleet_state_test.cpp
+++ b/tests/fleet/fleet_state_test.cpp
@@ -208,11 +208,11 @@
     fleet_state copy;
     ASSERT_TRUE(copy.restore(state.save()));
     for (const auto* each : {&state, &copy}) {
-        EXPECT_FALSE(each->is_leaving(runner)) << "it has started again";
+        EXPECT_FALSE(each->is_leaving(runner)) << "it has restarted";
         EXPECT_EQ(each->registrations().at(runner).born.value, 1001U);
     }
     state.apply(fleet_state::depart(runner, true, {1000}));
-    EXPECT_FALSE(state.is_leaving(runner)) << "said late, by the life before";
+    EXPECT_FALSE(state.is_leaving(runner)) << "a delayed departure of the earlier life";
     state.apply(fleet_state::depart(runner, false, {1001}));
     EXPECT_TRUE(state.is_leaving(runner));
     EXPECT_FALSE(state.is_gone(runner));
--- a/tests/fleet/follower_tracker_test.cpp
+++ b/tests/fleet/follower_tracker_test.cpp
@@ -11,10 +11,10 @@
 TEST(an_update, that_is_under_way_is_not_sent_again_at_once)
 {
     follower_tracker tracker;
-    EXPECT_EQ(tracker.on_report(start, entry, 0, true, 7), 0U) << "all there is";
+    EXPECT_EQ(tracker.on_report(start, entry, 0, true, 7), 0U) << "a full update";
     EXPECT_EQ(tracker.on_report(start + milliseconds{50}, entry, 0, true, 7), 7U);
     EXPECT_EQ(tracker.on_report(start + milliseconds{400}, entry, 0, true, 7), 0U)
-        << "it seems to be lost";
+        << "the update counts as lost";
 }
 
 TEST(an_update, that_was_not_sent_is_sent_with_the_next_report)
@@ -24,7 +24,7 @@
     tracker.on_dropped(entry);
     EXPECT_EQ(tracker.on_report(start + milliseconds{50}, entry, 0, true, 7), 0U);
     EXPECT_EQ(tracker.on_report(start + milliseconds{100}, entry, 0, true, 7), 7U)
-        << "that one was sent";
+        << "the latest update was sent";
     tracker.on_dropped(daemon_id{"nobody"});
 }
 
--- a/tests/fleet/group_planner_test.cpp
+++ b/tests/fleet/group_planner_test.cpp
@@ -8,8 +8,8 @@
 namespace cedarpoint {
 namespace {
 
+using testing_support::join_lines;
 using testing_support::planner_world;
-using testing_support::told;
 
 TEST(a_leader, forms_a_group_of_each_size_in_a_domain_and_keeps_spares)
 {
@@ -18,7 +18,7 @@
     world.run(seconds{6});
     EXPECT_EQ(world.serving("large"), 1U);
     EXPECT_EQ(world.serving("small"), 1U);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_fabric_domain, holds_one_models_groups_where_sharing_would_strand_runners)
@@ -28,9 +28,9 @@
     world.add_runners("a-1", 9);
     world.run(seconds{12});
     EXPECT_EQ(world.serving("large"), 2U);
-    EXPECT_EQ(world.serving("small"), 3U) << "one runner of 18 is left";
+    EXPECT_EQ(world.serving("small"), 3U) << "one runner of 18 stays free";
     EXPECT_EQ(world.mixed_domains(), 0U);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_fabric_domain, of_one_model_forms_every_group_that_fits_before_requests_come)
@@ -40,10 +40,11 @@
     world.add_runners("a-0", 37);
     world.add_runners("a-1", 37);
     world.run(seconds{12});
-    EXPECT_EQ(world.serving("large") * 4 + world.serving("small") * 3, 74U) << "nobody is left";
+    EXPECT_EQ(world.serving("large") * 4 + world.serving("small") * 3, 74U)
+        << "no runner stays free";
     EXPECT_GE(world.serving("large"), 8U) << "half of the runners, by four";
     EXPECT_GE(world.serving("small"), 12U) << "the same by three";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_group, that_loses_a_member_serves_again_with_a_spare)
@@ -57,7 +58,7 @@
     EXPECT_EQ(world.serving("large"), 0U);
     world.run(seconds{4});
     EXPECT_EQ(world.serving("large"), 1U) << world.plan();
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_group, whose_head_is_unreachable_serves_again_once_every_entry_daemon_has_tried_it)
@@ -69,7 +70,7 @@
     world.kill(world.members_of_some_group("large").front());
     world.run(seconds{6});
     EXPECT_EQ(world.serving("large"), 1U);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_group, whose_head_only_the_leader_does_not_reach_goes_on)
@@ -85,7 +86,7 @@
     world.set_cut(members.front(), false);
     world.run(seconds{3});
     EXPECT_EQ(world.members_of_some_group("large"), members);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_cut_domain, is_not_taken_for_open_because_a_heartbeat_came_late)
@@ -105,8 +106,9 @@
         world.set_unreachable(runner, false);
     }
     world.run(seconds{4});
-    EXPECT_EQ(world.members_of_some_group("large"), members) << "it went on behind the cut";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(world.members_of_some_group("large"), members)
+        << "the group kept serving behind the partition";
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_cut_domain, that_comes_back_finds_no_member_given_away)
@@ -127,12 +129,13 @@
         world.set_cut(everyone[at], false);
     }
     world.run(seconds{5});
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
     for (std::size_t at = 0; at < 9; ++at) {
         EXPECT_EQ(world.group_of(everyone[at]), groups[at]) << everyone[at].str();
     }
-    EXPECT_EQ(world.serving("small"), 4U) << "three behind the cut, one formed on this side of it";
-    EXPECT_EQ(world.serving("large"), 1U) << "the other one made room";
+    EXPECT_EQ(world.serving("small"), 4U)
+        << "three behind the partition, one formed on the leader's side";
+    EXPECT_EQ(world.serving("large"), 1U) << "the other one was converted";
 }
 
 TEST(a_member, that_was_cut_off_while_its_group_ended_is_used_again)
@@ -146,22 +149,22 @@
     world.set_unreachable(members.back(), true);
     world.kill(members.front());
     world.run(seconds{8});
-    ASSERT_EQ(world.serving("large"), 1U) << "of the two that answered, and spares";
+    ASSERT_EQ(world.serving("large"), 1U) << "formed of the two that answered and of spares";
     world.set_unreachable(members.back(), false);
     world.run(seconds{30});
     EXPECT_NE(world.group_of(members.back()), ended) << "it is still bound to the group";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 // Rule TWO. Guards against giving a member to another group while its head, which the leader can't
 // reach, still serves on the other side of a network partition (issue 23).
 TEST(a_member, is_free_for_another_group_only_once_it_has_itself_left_its_own)
 {
-    struct story {
+    struct scenario {
         std::string title;
-        std::function<void(planner_world&, const std::vector<runner_id>& members)> happens;
+        std::function<void(planner_world&, const std::vector<runner_id>& members)> inject;
     };
-    const std::vector<story> stories{
+    const std::vector<scenario> scenarios{
         {"no entry daemon on the leader's side reaches the head",
          [](auto& world, const auto& members) { world.set_unreachable(members.front(), true); }},
         {"a new leader first receives the head's heartbeat from before the group",
@@ -185,7 +188,7 @@
              world.change_leader();
          }},
     };
-    for (const auto& [title, happens] : stories) {
+    for (const auto& [title, inject] : scenarios) {
         SCOPED_TRACE(title);
         planner_world world{{}};
         world.add_runners("a-0", 9);
@@ -196,9 +199,9 @@
         world.run(seconds{11});
         const auto members = world.members_of_some_group("large");
         ASSERT_EQ(members.size(), 4U);
-        happens(world, members);
+        inject(world, members);
         world.run(seconds{10});
-        EXPECT_EQ(told(world.broken()), "");
+        EXPECT_EQ(join_lines(world.violations()), "");
     }
 }
 
@@ -211,7 +214,7 @@
     world.change_leader();
     world.run(seconds{4});
     EXPECT_EQ(world.members_of_some_group("small"), members);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_draining_member, ends_its_group_once_that_is_idle)
@@ -230,7 +233,7 @@
     const auto members = world.members_of_some_group("large");
     EXPECT_EQ(members.size(), 4U);
     EXPECT_EQ(std::count(members.begin(), members.end(), leaving), 0);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_model, that_loses_a_member_three_times_is_repaired_from_spares)
@@ -246,7 +249,7 @@
         world.kill(members.back());
         world.run(seconds{4});
     }
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
     EXPECT_GE(world.serving("large") + world.serving("small"), 3U);
 }
 
@@ -262,8 +265,8 @@
     world.run(seconds{10});
     EXPECT_EQ(world.serving("large"), 4U);
     EXPECT_EQ(world.serving("small"), 6U);
-    EXPECT_EQ(world.mixed_domains(), 0U) << "no domain began with the other's model";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(world.mixed_domains(), 0U) << "no domain started with groups of both models";
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_new_leader, takes_a_member_for_one_of_its_latest_group)
@@ -279,7 +282,7 @@
     const auto new_group = world.group_of(members.back());
     ASSERT_NE(new_group, old_group);
     ASSERT_EQ(world.serving("large"), 1U);
-    ASSERT_TRUE(world.is_in_log(old_group)) << "its head was not heard since";
+    ASSERT_TRUE(world.is_in_log(old_group)) << "its head has been unreachable since";
 
     world.change_leader();
     world.run(seconds{8});
@@ -288,7 +291,7 @@
     world.run(seconds{8});
     EXPECT_NE(world.group_of(members.front()), old_group);
     EXPECT_FALSE(world.is_in_log(old_group)) << "its head has left";
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST(a_member, that_a_late_order_joins_again_to_the_group_that_it_left_is_not_free)
@@ -318,7 +321,7 @@
         world.set_cut(runner, false);
     }
     world.run(seconds{6});
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
     EXPECT_NE(world.group_of(members.back()), group_id{});
     EXPECT_NE(world.group_of(members.back()), old_group) << "it was ordered to leave once more";
 }
@@ -334,13 +337,14 @@
     world.lose_answers = true;
     world.kill(members.back());
     world.run(seconds{4});
-    EXPECT_EQ(world.group_of(members.front()), group_id{}) << "it has left, and can't say so";
+    EXPECT_EQ(world.group_of(members.front()), group_id{})
+        << "it has left, but its answer was lost";
     EXPECT_EQ(world.serving("large"), 0U);
     world.lose_answers = false;
     world.run(seconds{5});
     EXPECT_EQ(world.serving("large"), 1U) << "formed of those that answered the second order";
     EXPECT_NE(world.group_of(members.front()), ended);
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 } // namespace
--- a/tests/fleet/planner_world.cpp
+++ b/tests/fleet/planner_world.cpp
@@ -25,7 +25,7 @@
                        version);
 }
 
-std::string told(const std::vector<std::string>& lines)
+std::string join_lines(const std::vector<std::string>& lines)
 {
     std::string out;
     for (const auto& line : lines) {
@@ -58,19 +58,19 @@
 void planner_world::add_runners(const std::string& domain, int count)
 {
     for (int made = 0; made < count; ++made) {
-        const auto id = fmt::format("i-{:03}", ++made_);
+        const auto id = fmt::format("i-{:03}", ++runners_made_);
         fake_runner next;
-        next.told.id = runner_id{id};
-        next.told.service = service_id{"pool"};
-        next.told.address = *endpoint::parse(fmt::format("10.0.0.{}:80", made_));
-        next.told.failure_domain = failure_domain_id{"zone-" + domain.substr(0, 1)};
-        next.told.fabric_domain = fabric_domain_id{domain};
-        next.next_heartbeat = now_ + milliseconds{17 * (made_ % 60)};
+        next.announced.id = runner_id{id};
+        next.announced.service = service_id{"pool"};
+        next.announced.address = *endpoint::parse(fmt::format("10.0.0.{}:80", runners_made_));
+        next.announced.failure_domain = failure_domain_id{"zone-" + domain.substr(0, 1)};
+        next.announced.fabric_domain = fabric_domain_id{domain};
+        next.next_heartbeat = now_ + milliseconds{17 * (runners_made_ % 60)};
         runners_.emplace(runner_id{id}, std::move(next));
     }
 }
 
-std::string planner_world::list_key(const group_id& group, std::uint64_t epoch_value)
+std::string planner_world::member_list_key(const group_id& group, std::uint64_t epoch_value)
 {
     return group.str() + "@" + std::to_string(epoch_value);
 }
@@ -93,7 +93,7 @@
 
 void planner_world::drain(const runner_id& runner)
 {
-    find(runner)->told.draining = true;
+    find(runner)->announced.draining = true;
     find(runner)->next_heartbeat = now_;
 }
 
@@ -118,8 +118,8 @@
     if (time >= lease) {
         change_leader();
     }
-    for (const auto& told : std::exchange(queued_, {})) {
-        leader_->announce(now_, told);
+    for (const auto& announced : std::exchange(queued_, {})) {
+        leader_->announce(now_, announced);
     }
 }
 
@@ -137,7 +137,7 @@
 void planner_world::step_runners()
 {
     for (auto& [id, runner] : runners_) {
-        auto& membership = runner.told.membership;
+        auto& membership = runner.announced.membership;
         if (!runner.alive || !membership) {
             continue;
         }
@@ -152,10 +152,10 @@
             runner.next_heartbeat = now_;
         }
     }
-    for (std::size_t at = 0; at < late_.size();) {
-        if (late_[at].at <= now_) {
-            const auto order = late_[at].order;
-            late_.erase(late_.begin() + static_cast<std::ptrdiff_t>(at));
+    for (std::size_t at = 0; at < late_orders_.size();) {
+        if (late_orders_[at].at <= now_) {
+            const auto order = late_orders_[at].order;
+            late_orders_.erase(late_orders_.begin() + static_cast<std::ptrdiff_t>(at));
             carry_out(order);
         }
         else {
@@ -172,21 +172,21 @@
 
 void planner_world::deliver_late_heartbeat(const runner_id& runner)
 {
-    auto& told = runners_.at(runner).told;
-    ++told.sequence;
-    leader_->announce(now_, told);
+    auto& announced = runners_.at(runner).announced;
+    ++announced.sequence;
+    leader_->announce(now_, announced);
 }
 
 void planner_world::repeat_join(const runner_id& runner, duration delay)
 {
-    late_.push_back({now_ + delay, latest_joins_.at(runner)});
+    late_orders_.push_back({now_ + delay, latest_joins_.at(runner)});
 }
 
 void planner_world::hold_back_heartbeat(const runner_id& runner)
 {
-    auto& told = runners_.at(runner).told;
-    ++told.sequence;
-    held_back_[runner] = told;
+    auto& announced = runners_.at(runner).announced;
+    ++announced.sequence;
+    held_back_[runner] = announced;
 }
 
 void planner_world::deliver_held_back(const runner_id& runner)
@@ -196,9 +196,9 @@
 
 void planner_world::deliver_all_held_back()
 {
-    for (const auto& [runner, told] : held_back_) {
+    for (const auto& [runner, announced] : held_back_) {
         if (runners_.at(runner).alive) {
-            leader_->announce(now_, told);
+            leader_->announce(now_, announced);
         }
     }
 }
@@ -207,13 +207,13 @@
 {
     for (auto& [id, runner] : runners_) {
         if (runner.alive && !runner.cut && now_ >= runner.next_heartbeat) {
-            ++runner.told.sequence;
+            ++runner.announced.sequence;
             runner.next_heartbeat = now_ + heartbeat;
             if (suspended_) {
-                queued_.push_back(runner.told);
+                queued_.push_back(runner.announced);
             }
             else {
-                leader_->announce(now_, runner.told);
+                leader_->announce(now_, runner.announced);
             }
         }
     }
@@ -221,24 +221,25 @@
 
 bool planner_world::group_moves(const fake_runner& head) const
 {
-    const auto& membership = *head.told.membership;
-    const auto list = lists_.find(list_key(membership.group, membership.assignment.value));
-    return list != lists_.end() &&
+    const auto& membership = *head.announced.membership;
+    const auto list =
+        member_lists_.find(member_list_key(membership.group, membership.assignment.value));
+    return list != member_lists_.end() &&
            std::all_of(list->second.begin(), list->second.end(), [&](const runner_id& member) {
                const auto& runner = runners_.at(member);
-               return runner.alive && runner.told.membership &&
-                      runner.told.membership->group == membership.group;
+               return runner.alive && runner.announced.membership &&
+                      runner.announced.membership->group == membership.group;
            });
 }
 
 int planner_world::in_flight_at(const fake_runner& head) const
 {
     // Entry daemons send no new requests to a group that is retired for another model.
-    const auto converted = converted_.find(head.told.membership->group);
+    const auto converted = converted_.find(head.announced.membership->group);
     if (converted != converted_.end() && now_ - converted->second > time_to_drain) {
         return 0;
     }
-    const auto found = work.find(head.told.models.front().str());
+    const auto found = work.find(head.announced.models.front().str());
     if (found == work.end()) {
         return in_flight;
     }
@@ -255,7 +256,7 @@
     demand->set_model("large");
     demand->set_started(now_ > first_request ? 1 : 0);
     for (const auto& [id, runner] : runners_) {
-        const auto& membership = runner.told.membership;
+        const auto& membership = runner.announced.membership;
         const bool open = membership && membership->phase == member_phase::open;
         if (open && in_flight_at(runner) > 0) {
             const bool moves = runner.alive && !runner.unreachable && group_moves(runner);
@@ -297,7 +298,7 @@
     }
     else if (draw(random_) < options_.late_orders) {
         std::uniform_int_distribution<int> delay(2000, 12'000);
-        late_.push_back({now_ + milliseconds{delay(random_)}, step.order});
+        late_orders_.push_back({now_ + milliseconds{delay(random_)}, step.order});
         leader_->on_order_result(now_, step.order, order_result::unknown);
     }
     else {
@@ -317,13 +318,13 @@
     }
     runner->highest_fence = std::max(runner->highest_fence, order.fence);
     if (order.kind == order_kind::stage) {
-        runner->told.staged = {order.model};
+        runner->announced.staged = {order.model};
         return order_result::taken;
     }
     if (order.kind == order_kind::join) {
         return join(*runner, order);
     }
-    auto& membership = runner->told.membership;
+    auto& membership = runner->announced.membership;
     const bool fits = membership && membership->group == order.group &&
                       membership->assignment == order.assignment;
     if (!fits) {
@@ -332,7 +333,7 @@
     runner->next_heartbeat = now_;
     if (order.kind == order_kind::leave) {
         membership.reset();
-        runner->told.models.clear();
+        runner->announced.models.clear();
         runner->opening = false;
         return order_result::taken;
     }
@@ -350,14 +351,14 @@
     if (order.assignment.value < runner.highest_epoch) {
         return order_result::fenced;
     }
-    auto& membership = runner.told.membership;
+    auto& membership = runner.announced.membership;
     if (membership && membership->group == order.group &&
         membership->assignment == order.assignment) {
         return order_result::taken;
     }
     check_join(order);
     latest_joins_[order.to] = order;
-    lists_[list_key(order.group, order.assignment.value)] = order.members;
+    member_lists_[member_list_key(order.group, order.assignment.value)] = order.members;
     runner.highest_epoch = order.assignment.value;
     group_membership next;
     next.group = order.group;
@@ -367,7 +368,7 @@
     membership = next;
     runner.opening = false;
     runner.ready_at = now_ + load_weights(runner, order.model);
-    runner.told.models = {order.model};
+    runner.announced.models = {order.model};
     runner.next_heartbeat = now_;
     return order_result::taken;
 }
@@ -379,7 +380,7 @@
     if (loaded) {
         return milliseconds{200};
     }
-    auto& staged = runner.told.staged;
+    auto& staged = runner.announced.staged;
     if (std::find(staged.begin(), staged.end(), model) != staged.end()) {
         return milliseconds{1600};
     }
@@ -391,30 +392,31 @@
 void planner_world::check_join(const group_order& order)
 {
     for (const auto& [id, head] : runners_) {
-        const auto& membership = head.told.membership;
+        const auto& membership = head.announced.membership;
         const bool serves = head.alive && membership && membership->rank == 0 &&
                             (membership->phase == member_phase::open || head.opening);
         if (!serves || membership->group == order.group) {
             continue;
         }
-        const auto& members = lists_[list_key(membership->group, membership->assignment.value)];
-        const auto& own = find(order.to)->told.membership;
+        const auto& members =
+            member_lists_[member_list_key(membership->group, membership->assignment.value)];
+        const auto& own = find(order.to)->announced.membership;
         const bool belongs = own && own->group == membership->group &&
                              std::find(members.begin(), members.end(), order.to) != members.end();
         if (belongs) {
-            broken_.push_back(fmt::format("{} joined {} while {} is open", order.to.str(),
-                                          order.group.str(), membership->group.str()));
+            violations_.push_back(fmt::format("{} joined {} while {} is open", order.to.str(),
+                                              order.group.str(), membership->group.str()));
         }
     }
 }
 
 void planner_world::check_open(const fake_runner& head, const group_order& order)
 {
-    const auto& members = lists_[list_key(order.group, order.assignment.value)];
+    const auto& members = member_lists_[member_list_key(order.group, order.assignment.value)];
     for (const auto& member : members) {
         if (!runners_.at(member).ready_epochs.contains(order.assignment.value)) {
-            broken_.push_back(
-                fmt::format("{} opened before {} was ready", head.told.id.str(), member.str()));
+            violations_.push_back(fmt::format("{} opened before {} was ready",
+                                              head.announced.id.str(), member.str()));
         }
     }
 }
--- a/tests/fleet/planner_world.h
+++ b/tests/fleet/planner_world.h
@@ -13,8 +13,8 @@
 /// A simulated runner that follows the engines' group protocol: epochs, phases, weights on its
 /// host.
 struct fake_runner {
-    announcement told; ///< content of its next heartbeat
-    model_id loaded;   ///< model of the last group that it joined
+    announcement announced; ///< content of its next heartbeat
+    model_id loaded;        ///< model of the last group that it joined
     bool alive = true;
     bool unreachable = false; ///< no entry daemon on the leader's side can connect to it
     bool cut = false;         ///< no traffic passes between it and the leader's side
@@ -74,7 +74,7 @@
     /// Returns the runner's group; empty if it is in none.
     [[nodiscard]] group_id group_of(const runner_id& runner) const;
     [[nodiscard]] std::vector<runner_id> alive() const;
-    [[nodiscard]] const std::vector<std::string>& broken() const { return broken_; }
+    [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
     /// Counts groups that were formed across several fabric domains.
     [[nodiscard]] std::size_t spread_groups() const;
     /// Counts fabric domains whose runners have loaded more than one model.
@@ -112,7 +112,8 @@
     void check_open(const fake_runner& head, const group_order& order);
     [[nodiscard]] bool group_moves(const fake_runner& head) const;
     fake_runner* find(const runner_id& runner);
-    [[nodiscard]] static std::string list_key(const group_id& group, std::uint64_t epoch_value);
+    [[nodiscard]] static std::string member_list_key(const group_id& group,
+                                                     std::uint64_t epoch_value);
 
     options options_;
     std::mt19937_64 random_;
@@ -121,21 +122,21 @@
     std::optional<fleet_leader> leader_;
     std::uint64_t term_ = 0;
     std::map<runner_id, fake_runner> runners_;
-    std::map<std::string, std::vector<runner_id>> lists_; ///< members by group and epoch
-    std::vector<late_order> late_;
+    std::map<std::string, std::vector<runner_id>> member_lists_; ///< members by group and epoch
+    std::vector<late_order> late_orders_;
     std::map<runner_id, announcement> held_back_;
-    std::vector<announcement> queued_; ///< sent while the control daemons are suspended
+    std::vector<announcement> queued_; ///< heartbeats sent while the control daemons are suspended
     bool suspended_ = false;
     std::map<runner_id, group_order> latest_joins_;
-    std::vector<std::string> broken_;
-    int made_ = 0;
+    std::vector<std::string> violations_;
+    int runners_made_ = 0;
     std::map<group_id, instant> converted_; ///< groups retired in favour of another model, and when
 };
 
-/// The lines of `planner_world::broken` as one text, for a test's output.
-std::string told(const std::vector<std::string>& lines);
+/// Joins the lines of `planner_world::violations`, for a test's output.
+std::string join_lines(const std::vector<std::string>& lines);
 
-/// A configuration with a service of groups of 4 and of 3.
+/// Returns a configuration with a service that has groups of 4 and of 3.
 std::string two_model_document(std::uint64_t version);
 
 } // namespace cedarpoint::testing_support
--- a/tests/fleet/planner_world_queries.cpp
+++ b/tests/fleet/planner_world_queries.cpp
@@ -9,7 +9,7 @@
 
 group_id planner_world::group_of(const runner_id& runner) const
 {
-    const auto& membership = runners_.at(runner).told.membership;
+    const auto& membership = runners_.at(runner).announced.membership;
     return membership ? membership->group : group_id{};
 }
 
@@ -33,9 +33,9 @@
 {
     std::size_t out = 0;
     for (const auto& [id, runner] : runners_) {
-        const auto& membership = runner.told.membership;
+        const auto& membership = runner.announced.membership;
         const bool open = runner.alive && membership && membership->phase == member_phase::open &&
-                          runner.told.models == std::vector{model_id{model}};
+                          runner.announced.models == std::vector{model_id{model}};
         out += open && group_moves(runner) ? 1 : 0;
     }
     return out;
@@ -44,10 +44,11 @@
 std::vector<runner_id> planner_world::members_of_some_group(const std::string& model) const
 {
     for (const auto& [id, runner] : runners_) {
-        const auto& membership = runner.told.membership;
+        const auto& membership = runner.announced.membership;
         if (runner.alive && membership && membership->phase == member_phase::open &&
-            runner.told.models == std::vector{model_id{model}}) {
-            return lists_.at(list_key(membership->group, membership->assignment.value));
+            runner.announced.models == std::vector{model_id{model}}) {
+            return member_lists_.at(
+                member_list_key(membership->group, membership->assignment.value));
         }
     }
     return {};
@@ -58,7 +59,7 @@
     std::map<fabric_domain_id, std::set<model_id>> loaded;
     for (const auto& [id, runner] : runners_) {
         if (!runner.loaded.empty()) {
-            loaded[runner.told.fabric_domain].insert(runner.loaded);
+            loaded[runner.announced.fabric_domain].insert(runner.loaded);
         }
     }
     return static_cast<std::size_t>(std::count_if(
@@ -68,10 +69,10 @@
 std::size_t planner_world::spread_groups() const
 {
     std::size_t out = 0;
-    for (const auto& [key, members] : lists_) {
+    for (const auto& [key, members] : member_lists_) {
         std::map<fabric_domain_id, int> domains;
         for (const auto& member : members) {
-            ++domains[runners_.at(member).told.fabric_domain];
+            ++domains[runners_.at(member).announced.fabric_domain];
         }
         out += domains.size() > 1 ? 1 : 0;
     }
--- a/tests/fleet/random_plans_test.cpp
+++ b/tests/fleet/random_plans_test.cpp
@@ -12,21 +12,21 @@
 namespace cedarpoint {
 namespace {
 
+using testing_support::join_lines;
 using testing_support::number_from_environment;
 using testing_support::planner_world;
-using testing_support::told;
 
-constexpr std::uint64_t kinds_of_harm = 11;
+constexpr std::uint64_t fault_kinds = 11;
 
 /// The seed, and whether runners check fences, which not all engines do.
 class random_plans : public testing::TestWithParam<std::tuple<std::uint64_t, bool>> {
 protected:
-    /// `kinds`: number of fault kinds to draw from. With `kinds_of_harm` + 1, the control daemons
+    /// `kinds`: number of fault kinds to draw from. With `fault_kinds` + 1, the control daemons
     /// are suspended as well.
-    static void play(std::uint64_t seed, bool fences, std::uint64_t kinds);
+    static void run_plan(std::uint64_t seed, bool fences, std::uint64_t kinds);
 };
 
-void random_plans::play(std::uint64_t seed, bool fences, std::uint64_t kinds)
+void random_plans::run_plan(std::uint64_t seed, bool fences, std::uint64_t kinds)
 {
     planner_world world{{.seed = seed, .late_orders = 0.35, .fences = fences}};
     world.add_runners("a-0", 9);
@@ -76,21 +76,21 @@
             world.change_leader();
             world.deliver_all_held_back();
             break;
-        case kinds_of_harm:
+        case fault_kinds:
             world.suspend_control(milliseconds{500 + random() % 29'500});
             break;
         default:
             break;
         }
         world.run(milliseconds{200 + random() % 1500});
-        ASSERT_EQ(told(world.broken()), "") << "seed " << seed << " round " << round;
+        ASSERT_EQ(join_lines(world.violations()), "") << "seed " << seed << " round " << round;
     }
     for (const auto& each : cut) {
         world.set_unreachable(each, false);
     }
     world.in_flight = 4;
     world.run(seconds{40});
-    EXPECT_EQ(told(world.broken()), "");
+    EXPECT_EQ(join_lines(world.violations()), "");
     EXPECT_GE(world.serving("large") + world.serving("small"), 2U);
     EXPECT_EQ(world.spread_groups(), 0U) << "a group lies in one fabric domain";
 }
@@ -98,13 +98,13 @@
 TEST_P(random_plans, keep_the_rules_while_runners_and_leaders_come_and_go)
 {
     const auto [seed, fences] = GetParam();
-    play(seed, fences, kinds_of_harm);
+    run_plan(seed, fences, fault_kinds);
 }
 
 TEST_P(random_plans, keep_the_rules_while_control_daemons_are_suspended_as_well)
 {
     const auto [seed, fences] = GetParam();
-    play(seed, fences, kinds_of_harm + 1);
+    run_plan(seed, fences, fault_kinds + 1);
 }
 
 const std::uint64_t first_seed = number_from_environment("PLANS_FIRST", 1);
--- a/tests/fleet/runner_orders_test.cpp
+++ b/tests/fleet/runner_orders_test.cpp
@@ -24,7 +24,9 @@
         hooks.on_probe_answered = [](const runner_id&) {};
         hooks.on_probe_failed = [](const runner_id&, probe_failure) {};
         hooks.life_of = [this](const runner_id&) { return life; };
-        hooks.on_leaving = [this](const runner_id&, birth told) { left.push_back(told); };
+        hooks.on_leaving = [this](const runner_id&, birth departed_life) {
+            left.push_back(departed_life);
+        };
         orders = std::make_unique<runner_orders>(installed_platform(), std::move(hooks));
     }
 
