--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -87,8 +87,8 @@
     void take_rate_limits(instant now, const daemon_id& follower, rate_limit_sightings in);
     void add_quarantines(instant now, std::vector<planner_step>& steps);
     void take_crashes(instant now, const daemon_id& follower, crash_histories in);
-    /// Passes the full crash history of each request in `news` to `on_crashes`.
-    void tell_crashes(instant now, const crash_histories& news) const;
+    /// Passes the full crash history of each request in `reported` to `on_crashes`.
+    void report_crashes(instant now, const crash_histories& reported) const;
     /// Records which lives of runners have ended according to a heartbeat. `earlier_owner` is the
     /// previous owner of its address, if that was another runner.
     void note_life(instant now, const announcement& in,
--- a/include/cedarpoint/fleet/follower_tracker.h
+++ b/include/cedarpoint/fleet/follower_tracker.h
@@ -38,7 +38,7 @@
 
 private:
     struct follower {
-        instant heard;
+        instant last_report;
         std::uint64_t sent = 0;      ///< version of the latest update sent
         std::uint64_t confirmed = 0; ///< version that it reported
         bool dropped = false;        ///< an update since its latest report was not sent
--- a/include/cedarpoint/fleet/group_conversion.h
+++ b/include/cedarpoint/fleet/group_conversion.h
@@ -43,20 +43,21 @@
     void clear()
     {
         under_way_.clear();
-        taken_at_.clear();
+        received_at_.clear();
     }
     /// Returns the next worthwhile conversion and records it as in progress; empty if there is
     /// none.
     [[nodiscard]] std::optional<conversion_proposal>
     begin_next(instant now, const placement_snapshot& in, const group_plan& plan);
     /// Removes conversions that have formed their groups, can no longer form them, or are overdue.
-    /// Returns true if it removed any; pointers that `kept_for` returned earlier are then invalid.
-    bool forget_finished(instant now, const placement_snapshot& in);
+    /// Returns true if it removed any; pointers that `reserved_for` returned earlier are then
+    /// invalid.
+    bool remove_finished(instant now, const placement_snapshot& in);
     /// Records that these runners have formed a group of the model.
     void on_formed(const model_id& model, const std::vector<runner_id>& members);
 
     /// Returns the model that the runner is reserved for; null if it may join for any model.
-    [[nodiscard]] const model_id* kept_for(const runner_id& runner) const;
+    [[nodiscard]] const model_id* reserved_for(const runner_id& runner) const;
     /// Returns, for each model, the number of groups that conversions in progress will still form.
     [[nodiscard]] std::map<model_id, std::size_t> count_expected() const;
     [[nodiscard]] std::size_t count() const { return under_way_.size(); }
@@ -71,11 +72,11 @@
     };
 
     /// Returns the models that received groups recently and therefore give none now.
-    [[nodiscard]] std::set<model_id> find_resting(instant now) const;
+    [[nodiscard]] std::set<model_id> find_cooling_down(instant now) const;
     [[nodiscard]] std::size_t count_runners() const;
 
     std::vector<conversion> under_way_;
-    std::map<model_id, instant> taken_at_;
+    std::map<model_id, instant> received_at_;
     instant next_at_;
 };
 
--- a/include/cedarpoint/fleet/group_evidence.h
+++ b/include/cedarpoint/fleet/group_evidence.h
@@ -28,19 +28,19 @@
     [[nodiscard]] bool is_replaced(const runner_id& runner) const;
     /// Returns true if the head was freed from the group and does not report it any more, or if the
     /// head is replaced.
-    [[nodiscard]] bool is_head_out(instant now, const planned_group& group) const;
+    [[nodiscard]] bool has_head_left(instant now, const planned_group& group) const;
     /// Returns true if the head sent a heartbeat or answered a probe since the group entered its
     /// phase.
-    [[nodiscard]] bool is_head_heard(const planned_group& group) const;
+    [[nodiscard]] bool has_head_reported(const planned_group& group) const;
     /// Returns true if a member other than the head is present or draining. A draining member
     /// counts even if its heartbeat is overdue.
-    [[nodiscard]] bool is_some_member_heard(instant now, const planned_group& group) const;
+    [[nodiscard]] bool is_other_member_present(instant now, const planned_group& group) const;
     /// Returns true if the runner's latest heartbeat names another group that it has not been freed
     /// from.
     [[nodiscard]] bool is_in_other_group(const planned_group& group, const runner_id& member) const;
     /// Returns true if a member that had left reports to be in the group again, because a delayed
     /// order to join was carried out.
-    [[nodiscard]] bool is_back(const planned_group& group, const runner_id& member) const;
+    [[nodiscard]] bool has_rejoined(const planned_group& group, const runner_id& member) const;
 
 private:
     /// Returns the group that the runner's latest heartbeat names; null if it names none, or a
--- a/include/cedarpoint/fleet/group_plan.h
+++ b/include/cedarpoint/fleet/group_plan.h
@@ -40,10 +40,10 @@
     /// name the group are ignored.
     void free_unopened(const planned_group& group, const runner_id& member, birth life);
     /// Clears the runner's loaded model, because a new life of it has loaded none.
-    void forget_loaded(const runner_id& runner) { last_models_.erase(runner); }
+    void clear_loaded(const runner_id& runner) { last_models_.erase(runner); }
     /// Removes the member from the group without freeing it: later reports that name the group
     /// still count.
-    void forget(const planned_group& group, const runner_id& member);
+    void unbind(const planned_group& group, const runner_id& member);
     /// Marks a group whose members are all freed or removed as ended. It stays in the plan until
     /// `erase_ended`, so that groups can be ended during iteration.
     void end(const planned_group& group) { ended_.insert(group.name); }
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -63,7 +63,7 @@
 
 private:
     /// Returns false while the fleet is starting and new runners still announce themselves.
-    [[nodiscard]] bool has_heard_fleet(instant now) const;
+    [[nodiscard]] bool is_fleet_announced(instant now) const;
     void form_groups(instant now);
     /// Retires groups in favour of a model with a higher utilization. Returns true if it retired
     /// any.
--- a/include/cedarpoint/fleet/placement_snapshot.h
+++ b/include/cedarpoint/fleet/placement_snapshot.h
@@ -20,7 +20,7 @@
     bool staging = false;                 ///< weights are being copied to its host
     const model_id* last_model = nullptr; ///< of its latest group; null if none
     bool settled = false; ///< sent a heartbeat to this leader; in no group, or in one that serves
-    const model_id* kept_for = nullptr; ///< a conversion reserves it for this model; null if none
+    const model_id* reserved_for = nullptr; ///< by a conversion, for this model; null if none
 };
 
 /// The input of placement, conversion and staging: values taken from the registry, the plan and the
--- a/include/cedarpoint/fleet/runner_registry.h
+++ b/include/cedarpoint/fleet/runner_registry.h
@@ -13,7 +13,7 @@
 /// What the heartbeats and probe answers of a runner's latest life report.
 struct runner_record {
     announcement latest;
-    instant heard;        ///< time of the latest heartbeat or probe answer
+    instant last_contact; ///< time of the latest heartbeat or probe answer
     bool assumed = false; ///< taken from the replicated state; no heartbeat received by this leader
     bool superseded = false; ///< another runner has permanently taken its address
     bool dead = false;       ///< another runner answered at its address
@@ -28,7 +28,7 @@
 public:
     /// Adds a runner from the replicated state. `now` counts as the time of its latest heartbeat
     /// until it sends one.
-    void expect(instant now, announcement assumed);
+    void add_assumed(instant now, announcement assumed);
     /// Processes a heartbeat. Returns false if it is older than one processed before, or of an
     /// earlier life.
     bool announce(instant now, const announcement& in);
@@ -38,7 +38,7 @@
     /// Records that another runner answered at the runner's address.
     void note_dead(const runner_id& runner);
     /// Removes runners without a heartbeat or answer for `keep`, and returns their ids.
-    std::vector<runner_id> forget_silent(instant now, duration keep);
+    std::vector<runner_id> remove_silent(instant now, duration keep);
     void clear();
 
     [[nodiscard]] const runner_record* find(const runner_id& runner) const;
@@ -59,15 +59,15 @@
     [[nodiscard]] const std::map<runner_id, runner_record>& records() const { return records_; }
     /// Returns the time when a new runner, or a new life of a runner, last announced itself; empty
     /// before the first.
-    [[nodiscard]] std::optional<instant> latest_news() const { return latest_news_; }
+    [[nodiscard]] std::optional<instant> latest_arrival() const { return latest_arrival_; }
 
 private:
-    void give_up_address(const runner_record& earlier, const announcement& in);
-    [[nodiscard]] bool may_own(instant now, const announcement& in, bool news) const;
+    void release_address(const runner_record& earlier, const announcement& in);
+    [[nodiscard]] bool may_own(instant now, const announcement& in, bool begins_life) const;
 
     std::map<runner_id, runner_record> records_;
     std::map<endpoint, runner_id> owners_;
-    std::optional<instant> latest_news_;
+    std::optional<instant> latest_arrival_;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/weight_staging.h
+++ b/include/cedarpoint/fleet/weight_staging.h
@@ -41,7 +41,7 @@
     void clear() { under_way_.clear(); }
     /// Removes transfers that are complete, unanswered or overdue, and those of runners that the
     /// registry no longer has.
-    void forget_finished(instant now, const runner_registry& registry);
+    void remove_finished(instant now, const runner_registry& registry);
     void on_order_result(instant now, const runner_id& runner, const model_id& model,
                          order_result result);
     [[nodiscard]] bool is_under_way(const runner_id& runner) const
@@ -85,8 +85,8 @@
     /// Returns free runners, and members of groups that could be retired for the first of `models`,
     /// by fabric domain.
     [[nodiscard]] static std::map<fabric_domain_id, runner_list>
-    find_takeable(const placement_snapshot& in, const fleet_service& service,
-                  const std::vector<const engine_model*>& models);
+    find_convertible(const placement_snapshot& in, const fleet_service& service,
+                     const std::vector<const engine_model*>& models);
     void stage_empty_runners(plan_step& step, const fleet_service& service,
                              const std::vector<const engine_model*>& models);
     using model_counts = std::map<model_id, std::size_t>;
@@ -95,7 +95,7 @@
     [[nodiscard]] model_counts count_held(const placement_snapshot& in,
                                           const fabric_domain_id& domain) const;
     /// Returns the fraction of a domain's runners that hold the model, with a lower bound.
-    [[nodiscard]] static double home_factor(const model_counts& held, const model_id& model);
+    [[nodiscard]] static double affinity_factor(const model_counts& held, const model_id& model);
     /// Stages the model on runners that serve another one and hold no second model.
     void stage_alternates(plan_step& step, const fleet_service& service, const engine_model& model);
     [[nodiscard]] bool will_have(const runner_snapshot& runner, const engine_model& model) const;
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -56,7 +56,7 @@
 bool failure_detector::is_silent(instant now, const runner_record& record) const
 {
     // Half an interval is added for transmission delays.
-    return now - record.heard > options_.heartbeat * 3 / 2;
+    return now - record.last_contact > options_.heartbeat * 3 / 2;
 }
 
 member_state failure_detector::state_of(instant now, const planned_group& group,
@@ -94,7 +94,7 @@
         return fmt::format("the log has it in {}, no heartbeat in this term", where);
     }
     return fmt::format("reports {} in heartbeat {}, last contact {} ms ago", where,
-                       record->latest.sequence, to_ms(now - record->heard));
+                       record->latest.sequence, to_ms(now - record->last_contact));
 }
 
 bool failure_detector::is_in_phase(const planned_group& group, const runner_id& member,
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A runner without a heartbeat or answer for this long is removed from the registry.
-constexpr duration forget_after = seconds{60};
+constexpr duration removal_timeout = seconds{60};
 
 planner_step make_record(std::string command)
 {
@@ -57,7 +57,7 @@
     drained_.clear();
     for (auto& runner : runners_in_log(state_)) {
         quarantine_.expect(runner.id, runner.born);
-        registry_.expect(now, std::move(runner));
+        registry_.add_assumed(now, std::move(runner));
     }
     planner_.begin_term(now, term);
     take_configuration();
@@ -84,7 +84,7 @@
 {
     take_configuration();
     auto steps = std::exchange(records_, {});
-    for (const auto& runner : registry_.forget_silent(now, forget_after)) {
+    for (const auto& runner : registry_.remove_silent(now, removal_timeout)) {
         steps.push_back(make_record(fleet_state::remove_runner(runner)));
         rate_limits_.forget(runner);
         quarantine_.forget(runner);
@@ -143,10 +143,10 @@
 void fleet_leader::note_life(instant now, const announcement& in,
                              const std::optional<runner_id>& earlier_owner)
 {
-    tell_crashes(now, quarantine_.on_heard(now, in.id, in.born));
+    report_crashes(now, quarantine_.on_heard(now, in.id, in.born));
     if (const auto* earlier = earlier_owner ? registry_.find(*earlier_owner) : nullptr;
         earlier != nullptr && earlier->superseded) {
-        tell_crashes(now, quarantine_.on_replaced(now, *earlier_owner));
+        report_crashes(now, quarantine_.on_replaced(now, *earlier_owner));
     }
 }
 
@@ -172,15 +172,15 @@
     if (record == nullptr || state_.is_leaving(runner)) {
         return;
     }
-    const auto told = life == birth{} ? record->latest.born : life;
-    if (told < record->latest.born) {
+    const auto departed_life = life == birth{} ? record->latest.born : life;
+    if (departed_life < record->latest.born) {
         return; // the answer came from an earlier life
     }
-    const auto [found, is_first] = drained_.try_emplace(runner, told);
-    if (!is_first && std::exchange(found->second, told) == told) {
+    const auto [found, is_first] = drained_.try_emplace(runner, departed_life);
+    if (!is_first && std::exchange(found->second, departed_life) == departed_life) {
         return;
     }
-    records_.push_back(make_record(fleet_state::depart(runner, false, told)));
+    records_.push_back(make_record(fleet_state::depart(runner, false, departed_life)));
     if (on_leave_heard) {
         on_leave_heard(runner);
     }
@@ -266,12 +266,12 @@
 {
     const auto reported = seen_by(follower, std::move(in));
     quarantine_.on_report(reported);
-    tell_crashes(now, reported);
+    report_crashes(now, reported);
 }
 
-void fleet_leader::tell_crashes(instant now, const crash_histories& news) const
+void fleet_leader::report_crashes(instant now, const crash_histories& reported) const
 {
-    for (const auto& [request, history] : news) {
+    for (const auto& [request, history] : reported) {
         if (const auto* known = quarantine_.find(request); on_crashes && known != nullptr) {
             on_crashes(now, request, *known);
         }
--- a/src/fleet/follower_tracker.cpp
+++ b/src/fleet/follower_tracker.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// A follower that has not reported for this long is lost.
-constexpr duration follower_silence = milliseconds{2500};
+constexpr duration follower_timeout = milliseconds{2500};
 
 /// An update that is not confirmed within this time is sent again.
 constexpr duration resend_after = seconds{1};
@@ -22,13 +22,14 @@
                                           std::uint64_t current)
 {
     auto& own = followers_[name];
-    own.heard = now;
+    own.last_report = now;
     if (confirmed > own.confirmed || confirmed == own.sent) {
         own.progress_at = now;
     }
     own.confirmed = confirmed;
-    const auto patience = behind ? resend_after_gap : resend_after;
-    const bool under_way = !own.dropped && confirmed < own.sent && now - own.progress_at < patience;
+    const auto resend_delay = behind ? resend_after_gap : resend_after;
+    const bool under_way =
+        !own.dropped && confirmed < own.sent && now - own.progress_at < resend_delay;
     own.dropped = false;
     if (!under_way) {
         own.progress_at = now;
@@ -66,7 +67,7 @@
 {
     std::vector<daemon_id> out;
     std::erase_if(followers_, [&](const auto& each) {
-        if (now - each.second.heard < follower_silence) {
+        if (now - each.second.last_report < follower_timeout) {
             return false;
         }
         out.push_back(each.first);
--- a/src/fleet/group_conversion.cpp
+++ b/src/fleet/group_conversion.cpp
@@ -12,7 +12,7 @@
 
 /// A conversion must lower the recipient model's utilization below this fraction of its previous
 /// value. A smaller gain does not outweigh the seconds without the retired groups.
-constexpr double largest_remainder = 0.95;
+constexpr double max_utilization_ratio = 0.95;
 
 /// Minimum time between the starts of two conversions, so that the reports of entry daemons, which
 /// arrive every 200 ms, reflect the first one.
@@ -28,7 +28,7 @@
 
 /// A model that has received groups by a conversion gives none for this long, because the averaged
 /// load still includes the time before the conversion.
-constexpr duration taker_rest = seconds{5};
+constexpr duration recipient_cooldown = seconds{5};
 
 using runner_index = std::map<runner_id, const runner_snapshot*>;
 
@@ -82,7 +82,7 @@
     return out;
 }
 
-domain_groups find_givers(const search& at, const group_plan& plan)
+domain_groups find_donors(const search& at, const group_plan& plan)
 {
     domain_groups out;
     for (const auto& [name, group] : plan.groups()) {
@@ -102,8 +102,10 @@
         return out;
     }
     for (const auto* runner : found->second) {
-        const bool kept = runner->kept_for != nullptr && *runner->kept_for != at.to.name;
-        if (runner->latest->service == at.service.name && !kept && can_join_soon(*runner, at.to)) {
+        const bool reserved_for_other =
+            runner->reserved_for != nullptr && *runner->reserved_for != at.to.name;
+        if (runner->latest->service == at.service.name && !reserved_for_other &&
+            can_join_soon(*runner, at.to)) {
             out.insert(runner->latest->id);
         }
     }
@@ -113,7 +115,7 @@
 /// Proposes the fewest groups of the domain whose members, together with its free runners, can form
 /// one group of the recipient model.
 conversion_proposal propose_in(const search& at, const fabric_domain_id& domain,
-                               const std::vector<const planned_group*>& givers, std::size_t most)
+                               const std::vector<const planned_group*>& donors, std::size_t most)
 {
     conversion_proposal out;
     out.service = &at.service;
@@ -121,7 +123,7 @@
     out.from = &at.from;
     out.domain = domain;
     out.runners = find_free(at, domain);
-    for (const auto* group : givers) {
+    for (const auto* group : donors) {
         if (out.gained > 0 || out.retired.size() == most) {
             break;
         }
@@ -134,50 +136,53 @@
 
 /// Returns true if the donor model has much more spare capacity even without the retired groups,
 /// and the conversion clearly lowers the recipient's utilization.
-bool is_worth_while(const search& at, const conversion_proposal& next)
+bool is_worthwhile(const search& at, const conversion_proposal& next)
 {
-    const auto taking = at.in.count_with_expected(at.to.name);
-    const auto giving = at.in.count_with_expected(at.from.name);
-    if (next.gained == 0 || giving <= next.retired.size()) {
+    const auto recipient_groups = at.in.count_with_expected(at.to.name);
+    const auto donor_groups = at.in.count_with_expected(at.from.name);
+    if (next.gained == 0 || donor_groups <= next.retired.size()) {
         return false;
     }
-    const auto left = giving - next.retired.size();
-    const auto before = utilization_with(at.in, at.service, at.to, taking);
-    const auto after = utilization_with(at.in, at.service, at.to, taking + next.gained);
+    const auto left = donor_groups - next.retired.size();
+    const auto before = utilization_with(at.in, at.service, at.to, recipient_groups);
+    const auto after = utilization_with(at.in, at.service, at.to, recipient_groups + next.gained);
     return is_worth_switching(at.in, at.service, at.from, left, at.to) &&
-           after < before * largest_remainder;
+           after < before * max_utilization_ratio;
 }
 
 /// Orders proposals by the number of runners retired per runner gained, then by the number of the
 /// recipient's groups in the failure domain; lower is better.
-auto rank(const conversion_proposal& in, std::size_t taking_there)
+auto rank(const conversion_proposal& in, std::size_t groups_there)
 {
-    const auto given = in.retired.size() * in.from->group_size;
+    const auto runners_retired = in.retired.size() * in.from->group_size;
     const auto gained = in.gained * in.to->group_size;
-    return std::tuple{static_cast<double>(given) / static_cast<double>(gained), taking_there};
+    return std::tuple{static_cast<double>(runners_retired) / static_cast<double>(gained),
+                      groups_there};
 }
 
 std::optional<conversion_proposal> find_best(const search& at, const group_plan& plan)
 {
-    const auto giving = count_by_failure_domain(at, plan, at.from.name);
-    const auto taking = count_by_failure_domain(at, plan, at.to.name);
+    const auto donor_groups = count_by_failure_domain(at, plan, at.from.name);
+    const auto recipient_groups = count_by_failure_domain(at, plan, at.to.name);
     std::optional<conversion_proposal> best;
-    std::size_t best_taking = 0;
-    for (const auto& [domain, givers] : find_givers(at, plan)) {
-        const auto& place = at.runners.at(givers.front()->head())->latest->failure_domain;
-        auto next = propose_in(at, domain, givers, giving.at(place) - 1);
-        const auto found = taking.find(place);
-        const auto there = found == taking.end() ? 0 : found->second;
-        if (is_worth_while(at, next) && (!best || rank(next, there) < rank(*best, best_taking))) {
+    std::size_t best_groups_there = 0;
+    for (const auto& [domain, donors] : find_donors(at, plan)) {
+        const auto& head_failure_domain =
+            at.runners.at(donors.front()->head())->latest->failure_domain;
+        auto next = propose_in(at, domain, donors, donor_groups.at(head_failure_domain) - 1);
+        const auto found = recipient_groups.find(head_failure_domain);
+        const auto groups_there = found == recipient_groups.end() ? 0 : found->second;
+        if (is_worthwhile(at, next) &&
+            (!best || rank(next, groups_there) < rank(*best, best_groups_there))) {
             best = std::move(next);
-            best_taking = there;
+            best_groups_there = groups_there;
         }
     }
     return best;
 }
 
 /// Returns the model with the highest utilization; null if no model has any load.
-const engine_model* find_taker(const placement_snapshot& in, const fleet_service& service)
+const engine_model* find_recipient(const placement_snapshot& in, const fleet_service& service)
 {
     const engine_model* out = nullptr;
     double highest = 0;
@@ -194,17 +199,17 @@
 
 std::optional<conversion_proposal> find_for(const placement_snapshot& in, const group_plan& plan,
                                             const fleet_service& service,
-                                            const std::set<model_id>& may_not_give)
+                                            const std::set<model_id>& excluded_donors)
 {
-    const auto* taker = find_taker(in, service);
-    if (taker == nullptr) {
+    const auto* recipient = find_recipient(in, service);
+    if (recipient == nullptr) {
         return {};
     }
-    for (const auto& giver : service.engine->models) {
-        if (giver.name == taker->name || may_not_give.contains(giver.name)) {
+    for (const auto& donor : service.engine->models) {
+        if (donor.name == recipient->name || excluded_donors.contains(donor.name)) {
             continue;
         }
-        if (auto out = find_best({in, index_of(in), service, *taker, giver}, plan)) {
+        if (auto out = find_best({in, index_of(in), service, *recipient, donor}, plan)) {
             return out;
         }
     }
@@ -223,8 +228,8 @@
         if (!service.engine) {
             continue;
         }
-        if (auto next = find_for(in, plan, service, find_resting(now))) {
-            taken_at_[next->to->name] = now;
+        if (auto next = find_for(in, plan, service, find_cooling_down(now))) {
+            received_at_[next->to->name] = now;
             under_way_.push_back({next->to->name, next->to->group_size, next->gained, next->runners,
                                   now + conversion_limit});
             next_at_ = now + conversion_interval;
@@ -234,11 +239,11 @@
     return {};
 }
 
-std::set<model_id> group_conversion::find_resting(instant now) const
+std::set<model_id> group_conversion::find_cooling_down(instant now) const
 {
     std::set<model_id> out;
-    for (const auto& [model, at] : taken_at_) {
-        if (now - at < taker_rest) {
+    for (const auto& [model, at] : received_at_) {
+        if (now - at < recipient_cooldown) {
             out.insert(model);
         }
     }
@@ -254,7 +259,7 @@
     return out;
 }
 
-bool group_conversion::forget_finished(instant now, const placement_snapshot& in)
+bool group_conversion::remove_finished(instant now, const placement_snapshot& in)
 {
     const auto ended = std::erase_if(under_way_, [&](const conversion& each) {
         const auto left =
@@ -270,11 +275,11 @@
 void group_conversion::on_formed(const model_id& model, const std::vector<runner_id>& members)
 {
     for (auto& each : under_way_) {
-        const bool meant =
+        const bool matches =
             each.to == model && each.expected > 0 &&
             std::any_of(members.begin(), members.end(),
                         [&](const runner_id& member) { return each.runners.contains(member); });
-        if (meant) {
+        if (matches) {
             --each.expected;
             for (const auto& member : members) {
                 each.runners.erase(member);
@@ -284,7 +289,7 @@
     }
 }
 
-const model_id* group_conversion::kept_for(const runner_id& runner) const
+const model_id* group_conversion::reserved_for(const runner_id& runner) const
 {
     for (const auto& each : under_way_) {
         if (each.expected > 0 && each.runners.contains(runner)) {
--- a/src/fleet/group_evidence.cpp
+++ b/src/fleet/group_evidence.cpp
@@ -33,7 +33,7 @@
     return record == nullptr || !registry_.is_present(*record);
 }
 
-bool group_evidence::is_head_out(instant now, const planned_group& group) const
+bool group_evidence::has_head_left(instant now, const planned_group& group) const
 {
     const auto& head = group.head();
     const bool belongs =
@@ -41,13 +41,13 @@
     return !belongs || is_replaced(head);
 }
 
-bool group_evidence::is_head_heard(const planned_group& group) const
+bool group_evidence::has_head_reported(const planned_group& group) const
 {
     const auto* record = registry_.find(group.head());
-    return record != nullptr && record->heard > group.since;
+    return record != nullptr && record->last_contact > group.since;
 }
 
-bool group_evidence::is_some_member_heard(instant now, const planned_group& group) const
+bool group_evidence::is_other_member_present(instant now, const planned_group& group) const
 {
     const auto first = std::next(group.members.begin());
     return std::any_of(first, group.members.end(), [&](const runner_id& member) {
@@ -62,7 +62,7 @@
     return reported != nullptr && *reported != group.name;
 }
 
-bool group_evidence::is_back(const planned_group& group, const runner_id& member) const
+bool group_evidence::has_rejoined(const planned_group& group, const runner_id& member) const
 {
     const auto* reported = reported_group(member);
     return reported != nullptr && *reported == group.name && !plan_.is_bound(member);
--- a/src/fleet/group_lifecycle.cpp
+++ b/src/fleet/group_lifecycle.cpp
@@ -11,7 +11,7 @@
 /// Time that entry daemons have to check whether they can connect to the head of a waiting group
 /// before its members are ordered to leave, which ends the group irrevocably. A check takes up to
 /// 300 ms, and its result up to 200 ms to arrive.
-constexpr duration check_patience = milliseconds{900};
+constexpr duration reachability_check_time = milliseconds{900};
 
 /// A retiring group is not considered idle before this time: entry daemons learn of the retirement
 /// with the next view and report every 200 ms.
@@ -161,7 +161,7 @@
 void group_lifecycle::advance_releasing(instant now, planned_group& group)
 {
     const auto& head = group.head();
-    if (evidence_.is_head_out(now, group)) {
+    if (evidence_.has_head_left(now, group)) {
         disband(now, group, evidence_.describe_loss(now, group, head));
         return;
     }
@@ -178,11 +178,11 @@
 
 void group_lifecycle::advance_waiting(instant now, planned_group& group)
 {
-    if (evidence_.is_head_out(now, group)) {
+    if (evidence_.has_head_left(now, group)) {
         disband(now, group, evidence_.describe_loss(now, group, group.head()));
         return;
     }
-    if (evidence_.is_head_heard(group)) {
+    if (evidence_.has_head_reported(group)) {
         // No member was ordered to leave, so the group may have kept serving behind a network
         // partition.
         enter(now, group, plan_phase::serving, "the head reports again");
@@ -194,7 +194,8 @@
             now, group,
             fmt::format("no entry daemon of {} reaches the head", reports_.count_followers(now)));
     }
-    else if (now - group.since >= check_patience && evidence_.is_some_member_heard(now, group)) {
+    else if (now - group.since >= reachability_check_time &&
+             evidence_.is_other_member_present(now, group)) {
         disband(now, group, "members respond, the head does not");
     }
 }
@@ -203,14 +204,14 @@
 {
     bool is_empty = true;
     for (const auto& member : group.members) {
-        if (evidence_.is_back(group, member)) {
+        if (evidence_.has_rejoined(group, member)) {
             plan_.bind(group, member);
         }
         if (!plan_.belongs_to(member, group)) {
             continue;
         }
         if (evidence_.is_replaced(member)) {
-            plan_.forget(group, member);
+            plan_.unbind(group, member);
             continue;
         }
         is_empty = false;
--- a/src/fleet/group_placement.cpp
+++ b/src/fleet/group_placement.cpp
@@ -60,13 +60,14 @@
 {
     const auto groups = static_cast<double>(in.count_groups(next.model->name));
     const auto wanted = static_cast<double>(base_groups(in, *next.service, *next.model));
-    const auto place = in.free.at(next.domain).front()->latest->failure_domain;
-    const auto there = static_cast<double>(in.count_groups_in(place, next.model->name));
+    const auto failure_domain_of_group = in.free.at(next.domain).front()->latest->failure_domain;
+    const auto groups_there =
+        static_cast<double>(in.count_groups_in(failure_domain_of_group, next.model->name));
     const bool is_new = in.count_groups_in(next.domain, next.model->name) == 0;
     const auto stranded =
         static_cast<double>(count_stranded(*next.service, free - next.members.size())) -
         static_cast<double>(count_stranded(*next.service, free));
-    return groups / wanted + cost_of_same_failure_domain * there +
+    return groups / wanted + cost_of_same_failure_domain * groups_there +
            (is_new ? cost_of_new_domain : 0) + cost_of_stranded * stranded -
            (groups == 0 ? advantage_of_first_group : 0);
 }
@@ -85,10 +86,11 @@
 bool may_join(const runner_snapshot& runner, const fleet_service& service,
               const engine_model& model)
 {
-    const bool kept_for_other = runner.kept_for != nullptr && *runner.kept_for != model.name;
+    const bool reserved_for_other =
+        runner.reserved_for != nullptr && *runner.reserved_for != model.name;
     // While weights are copied to its host, a runner can join only for the model that it has
     // loaded.
-    return runner.latest->service == service.name && !kept_for_other &&
+    return runner.latest->service == service.name && !reserved_for_other &&
            (has_loaded(runner, model) || !runner.staging);
 }
 
@@ -111,10 +113,10 @@
 
 /// Returns the model whose loaded weights the runner would lose by joining; null if it would lose
 /// none, or if a conversion has already decided on the switch.
-const engine_model* find_given_up(const runner_snapshot& runner, const fleet_service& service,
-                                  const engine_model& model)
+const engine_model* find_lost_model(const runner_snapshot& runner, const fleet_service& service,
+                                    const engine_model& model)
 {
-    const bool decided = runner.kept_for != nullptr && *runner.kept_for == model.name;
+    const bool decided = runner.reserved_for != nullptr && *runner.reserved_for == model.name;
     return decided || runner.last_model == nullptr || has_loaded(runner, model)
                ? nullptr
                : find_model(service, *runner.last_model);
@@ -126,7 +128,7 @@
     std::vector<candidate> out;
     for (const auto* runner : free) {
         if (may_join(*runner, service, model)) {
-            out.push_back({join_time(*runner, model), find_given_up(*runner, service, model),
+            out.push_back({join_time(*runner, model), find_lost_model(*runner, service, model),
                            runner->latest->id});
         }
     }
--- a/src/fleet/group_plan.cpp
+++ b/src/fleet/group_plan.cpp
@@ -48,7 +48,7 @@
 
 void group_plan::free(const planned_group& group, const runner_id& member, heartbeat_number latest)
 {
-    forget(group, member);
+    unbind(group, member);
     freed_[{group.name, member}] = latest;
 }
 
@@ -57,7 +57,7 @@
     free(group, member, {life, std::numeric_limits<std::uint64_t>::max()});
 }
 
-void group_plan::forget(const planned_group& group, const runner_id& member)
+void group_plan::unbind(const planned_group& group, const runner_id& member)
 {
     if (belongs_to(member, group)) {
         bound_.erase(member);
--- a/src/fleet/group_planner.cpp
+++ b/src/fleet/group_planner.cpp
@@ -86,7 +86,7 @@
 
 void group_planner::on_new_life(const runner_id& runner)
 {
-    plan_.forget_loaded(runner);
+    plan_.clear_loaded(runner);
 }
 
 std::vector<planner_step> group_planner::tick(instant now)
@@ -101,25 +101,25 @@
     }
     lifecycle_.advance_all(now);
     measure_work(now);
-    if (is_settled(now) && has_heard_fleet(now)) {
+    if (is_settled(now) && is_fleet_announced(now)) {
         form_groups(now);
     }
     return outbox_.take();
 }
 
-bool group_planner::has_heard_fleet(instant now) const
+bool group_planner::is_fleet_announced(instant now) const
 {
     // The models that fabric domains prefer depend on all runners, so groups formed before all have
     // announced themselves may use runners that suit another model.
-    const auto latest = registry_.latest_news();
+    const auto latest = registry_.latest_arrival();
     return reports_.has_traffic() || !latest || now - *latest >= start_quiet_time;
 }
 
 void group_planner::form_groups(instant now)
 {
-    staging_.forget_finished(now, registry_);
+    staging_.remove_finished(now, registry_);
     auto in = take_snapshot(now);
-    if (conversions_.forget_finished(now, in)) {
+    if (conversions_.remove_finished(now, in)) {
         in = take_snapshot(now); // the removed conversions invalidated its pointers
     }
     if (in.has_traffic && convert_groups(now, in)) {
@@ -223,7 +223,7 @@
         }
         out.runners.push_back({&record.latest, is_usable(record), is_free(now, record),
                                staging_.is_under_way(runner), plan_.last_model_of(runner),
-                               is_settled_runner(record), conversions_.kept_for(runner)});
+                               is_settled_runner(record), conversions_.reserved_for(runner)});
     }
     for (const auto& runner : out.runners) {
         if (runner.free) {
--- a/src/fleet/group_targets.cpp
+++ b/src/fleet/group_targets.cpp
@@ -14,10 +14,10 @@
 constexpr double utilization_without_group = 4;
 
 /// A model below this utilization is not short of capacity.
-constexpr double utilization_to_take = 0.4;
+constexpr double min_recipient_utilization = 0.4;
 
 /// A model takes runners only from a model whose utilization is lower by at least this factor.
-constexpr double least_gap = 2;
+constexpr double min_utilization_ratio = 2;
 
 std::size_t count_usable(const placement_snapshot& in, const fleet_service& service)
 {
@@ -55,9 +55,11 @@
 bool is_worth_switching(const placement_snapshot& in, const fleet_service& service,
                         const engine_model& from, std::size_t from_groups, const engine_model& to)
 {
-    const auto taking = utilization_with(in, service, to, in.count_with_expected(to.name));
-    return taking >= utilization_to_take &&
-           taking >= least_gap * utilization_with(in, service, from, from_groups);
+    const auto recipient_utilization =
+        utilization_with(in, service, to, in.count_with_expected(to.name));
+    return recipient_utilization >= min_recipient_utilization &&
+           recipient_utilization >=
+               min_utilization_ratio * utilization_with(in, service, from, from_groups);
 }
 
 } // namespace cedarpoint
--- a/src/fleet/runner_registry.cpp
+++ b/src/fleet/runner_registry.cpp
@@ -5,15 +5,15 @@
 
 /// Another runner that announces an address may take it over when the owner has been silent for
 /// this long. A heartbeat that was delayed by less does not take an address back.
-constexpr duration owner_silence = seconds{4};
+constexpr duration owner_timeout = seconds{4};
 /// Before that, a runner that is new to the registry may take it over only with a heartbeat number
 /// of at most this. A higher number may belong to a delayed heartbeat of a runner that has ended. A
 /// runner whose present life is already in the registry may take it over at once.
-constexpr std::uint64_t young_sequence = 3;
+constexpr std::uint64_t max_initial_sequence = 3;
 
 } // namespace
 
-void runner_registry::expect(instant now, announcement assumed)
+void runner_registry::add_assumed(instant now, announcement assumed)
 {
     owners_[assumed.address] = assumed.id;
     const auto id = assumed.id;
@@ -27,7 +27,7 @@
     return is_other ? std::optional{owner->second} : std::nullopt;
 }
 
-bool runner_registry::may_own(instant now, const announcement& in, bool news) const
+bool runner_registry::may_own(instant now, const announcement& in, bool begins_life) const
 {
     if (!has_other_owner(in)) {
         return true;
@@ -35,8 +35,8 @@
     // A heartbeat that was delayed by seconds may come from a runner that ended before the owner
     // started.
     const auto* other = find(owners_.at(in.address));
-    const bool owner_speaks = other != nullptr && now - other->heard < owner_silence;
-    return !owner_speaks || (news ? in.sequence <= young_sequence : true);
+    const bool is_owner_active = other != nullptr && now - other->last_contact < owner_timeout;
+    return !is_owner_active || (begins_life ? in.sequence <= max_initial_sequence : true);
 }
 
 bool runner_registry::announce(instant now, const announcement& in)
@@ -45,15 +45,15 @@
     auto& record = found->second;
     const bool begins_life = added || in.born > record.latest.born;
     if (begins_life) {
-        latest_news_ = now;
-        give_up_address(record, in);
+        latest_arrival_ = now;
+        release_address(record, in);
         record = {}; // the record of an earlier life does not apply to this one
     }
     else if (in.number() <= record.latest.number() || record.superseded) {
         return false;
     }
     record.latest = in;
-    record.heard = now;
+    record.last_contact = now;
     record.assumed = false;
     record.dead = false;
     if (may_own(now, in, begins_life)) {
@@ -66,7 +66,7 @@
     return true;
 }
 
-void runner_registry::give_up_address(const runner_record& earlier, const announcement& in)
+void runner_registry::release_address(const runner_record& earlier, const announcement& in)
 {
     const auto owner = owners_.find(earlier.latest.address);
     if (owner != owners_.end() && owner->second == in.id && owner->first != in.address) {
@@ -77,7 +77,7 @@
 void runner_registry::note_alive(instant now, const runner_id& runner)
 {
     if (const auto found = records_.find(runner); found != records_.end()) {
-        found->second.heard = now;
+        found->second.last_contact = now;
         found->second.answered = now;
     }
 }
@@ -89,12 +89,12 @@
     }
 }
 
-std::vector<runner_id> runner_registry::forget_silent(instant now, duration keep)
+std::vector<runner_id> runner_registry::remove_silent(instant now, duration keep)
 {
     std::vector<runner_id> out;
     std::erase_if(records_, [&](const auto& each) {
         const auto& record = each.second;
-        if (now - record.heard < keep) {
+        if (now - record.last_contact < keep) {
             return false;
         }
         const auto owner = owners_.find(record.latest.address);
@@ -111,7 +111,7 @@
 {
     records_.clear();
     owners_.clear();
-    latest_news_.reset();
+    latest_arrival_.reset();
 }
 
 const runner_record* runner_registry::find(const runner_id& runner) const
--- a/src/fleet/view_builder.cpp
+++ b/src/fleet/view_builder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A plain runner without contact for this many heartbeat intervals is omitted from the view.
-constexpr int heartbeats_to_lose = 3;
+constexpr int heartbeats_until_lost = 3;
 
 /// `Runner` is an `announcement` or a `registered_runner`.
 template <class Runner>
@@ -57,7 +57,7 @@
 {
     return registry_.is_present(record) && !record.latest.draining &&
            !state_.is_leaving(record.latest.id) &&
-           now - record.heard < heartbeat_ * heartbeats_to_lose;
+           now - record.last_contact < heartbeat_ * heartbeats_until_lost;
 }
 
 void view_builder::add_plain_runners(instant now, const fleet_configuration& configuration,
--- a/src/fleet/weight_staging.cpp
+++ b/src/fleet/weight_staging.cpp
@@ -22,10 +22,10 @@
 /// Lower bound of the factor by which a group's value is reduced if few runners of the fabric
 /// domain hold its model. It favours one model in each domain, because the survivors of two groups
 /// of one model can form a third without the store.
-constexpr double least_home_factor = 0.1;
+constexpr double min_affinity_factor = 0.1;
 
 /// Added to the load time, so that the value of a group that lacks no weights is finite.
-constexpr double shortest_work_s = 0.1;
+constexpr double base_load_s = 0.1;
 
 /// Returns the service's models by falling utilization.
 std::vector<const engine_model*> by_utilization(const placement_snapshot& in,
@@ -53,14 +53,14 @@
 }
 
 /// Returns the value of a completion per second of loading from the store: the model's utilization
-/// divided by the total load time. Without any load it is finite because of `shortest_work_s`.
+/// divided by the total load time. Without any load it is finite because of `base_load_s`.
 double completion_worth(const placement_snapshot& in, const fleet_service& service,
                         const engine_model& model, std::size_t lacking)
 {
     const auto groups = in.count_with_expected(model.name);
     const auto load_s = std::chrono::duration<double>(model.load_time).count();
     return utilization_with(in, service, model, groups) /
-           (load_s * static_cast<double>(lacking) + shortest_work_s);
+           (load_s * static_cast<double>(lacking) + base_load_s);
 }
 
 bool all_can_join_soon(const weight_staging::runner_list& runners, std::size_t first,
@@ -88,7 +88,7 @@
     double worth = 0;                            ///< the highest is staged first
 };
 
-void weight_staging::forget_finished(instant now, const runner_registry& registry)
+void weight_staging::remove_finished(instant now, const runner_registry& registry)
 {
     std::erase_if(under_way_, [&](const auto& each) {
         const auto& [runner, transfer] = each;
@@ -197,7 +197,7 @@
         std::copy_if(runners.begin(), runners.end(), std::back_inserter(left),
                      [&](const runner_snapshot* runner) {
                          return runner->latest->service == service.name &&
-                                runner->kept_for == nullptr;
+                                runner->reserved_for == nullptr;
                      });
         while (auto next = find_completion(step.in, service, models, domain, left)) {
             all.push_back(std::move(*next));
@@ -220,7 +220,7 @@
 {
     const auto& to = *models.front();
     std::vector<const runner_snapshot*> best;
-    for (const auto& [domain, runners] : find_takeable(step.in, service, models)) {
+    for (const auto& [domain, runners] : find_convertible(step.in, service, models)) {
         runner_list lacking;
         std::copy_if(runners.begin(), runners.end(), std::back_inserter(lacking),
                      [&](const runner_snapshot* runner) { return !will_have(*runner, to); });
@@ -243,14 +243,14 @@
 }
 
 std::map<fabric_domain_id, weight_staging::runner_list>
-weight_staging::find_takeable(const placement_snapshot& in, const fleet_service& service,
-                              const std::vector<const engine_model*>& models)
+weight_staging::find_convertible(const placement_snapshot& in, const fleet_service& service,
+                                 const std::vector<const engine_model*>& models)
 {
     const auto& to = *models.front();
     std::map<fabric_domain_id, runner_list> out;
     for (const auto& runner : in.runners) {
         const bool usable = runner.latest->service == service.name && runner.usable &&
-                            runner.settled && runner.kept_for == nullptr;
+                            runner.settled && runner.reserved_for == nullptr;
         if (!usable) {
             continue;
         }
@@ -262,10 +262,10 @@
         const auto* from = runner.last_model == nullptr
                                ? nullptr
                                : in.configuration->find_model(service.name, *runner.last_model);
-        const bool gives =
+        const bool is_donor =
             from != nullptr && from->name != to.name &&
             is_worth_switching(in, service, *from, in.count_with_expected(from->name), to);
-        if (gives) {
+        if (is_donor) {
             there.push_back(&runner);
         }
     }
@@ -304,7 +304,7 @@
             continue;
         }
         next.worth = completion_worth(in, service, *model, next.lacking.size()) *
-                     home_factor(held, model->name);
+                     affinity_factor(held, model->name);
         if (!best || next.worth > best->worth) {
             best = std::move(next);
             best_left = std::move(others);
@@ -328,7 +328,7 @@
         const auto held = count_held(step.in, runner.latest->fabric_domain);
         const auto* most = *std::max_element(
             models.begin(), models.end(), [&](const engine_model* a, const engine_model* b) {
-                return home_factor(held, a->name) < home_factor(held, b->name);
+                return affinity_factor(held, a->name) < affinity_factor(held, b->name);
             });
         begin(step, runner, *most);
     }
@@ -356,7 +356,7 @@
     return out;
 }
 
-double weight_staging::home_factor(const model_counts& held, const model_id& model)
+double weight_staging::affinity_factor(const model_counts& held, const model_id& model)
 {
     std::size_t all = 0;
     for (const auto& [each, count] : held) {
@@ -366,7 +366,7 @@
     const auto own = found == held.end() ? 0 : found->second;
     return all == 0
                ? 1
-               : std::max(static_cast<double>(own) / static_cast<double>(all), least_home_factor);
+               : std::max(static_cast<double>(own) / static_cast<double>(all), min_affinity_factor);
 }
 
 void weight_staging::stage_alternates(plan_step& step, const fleet_service& service,
--- a/tests/fleet/group_conversion_test.cpp
+++ b/tests/fleet/group_conversion_test.cpp
@@ -70,8 +70,8 @@
     EXPECT_EQ(next->retired.front()->model, small);
     EXPECT_EQ(next->gained, 1U);
     for (const auto& runner : next->runners) {
-        ASSERT_NE(conversions.kept_for(runner), nullptr);
-        EXPECT_EQ(*conversions.kept_for(runner), large);
+        ASSERT_NE(conversions.reserved_for(runner), nullptr);
+        EXPECT_EQ(*conversions.reserved_for(runner), large);
     }
     EXPECT_EQ(conversions.count_expected().at(large), 1U);
 }
@@ -107,7 +107,7 @@
         ++begun;
         const std::vector<runner_id> members{next->runners.begin(), next->runners.end()};
         conversions.on_formed(next->to->name, members);
-        conversions.forget_finished(now, world.snapshot());
+        conversions.remove_finished(now, world.snapshot());
         // As the planner does: the retired groups end and the new one serves.
         for (const auto* group : next->retired) {
             plan.find(group->name)->phase = plan_phase::releasing;
@@ -139,7 +139,7 @@
                 plan.find(group->name)->phase = plan_phase::releasing;
             }
             conversions.on_formed(next->to->name, {next->runners.begin(), next->runners.end()});
-            conversions.forget_finished(now, world.snapshot());
+            conversions.remove_finished(now, world.snapshot());
         }
     }
     EXPECT_LE(retired, 3U) << "of four small ones in the only failure domain";
@@ -152,11 +152,11 @@
     const auto next = begin(start);
     ASSERT_TRUE(next);
     conversions.on_formed(large, {next->runners.begin(), next->runners.end()});
-    conversions.forget_finished(start, world.snapshot());
+    conversions.remove_finished(start, world.snapshot());
     world.set_work(large, 2);
     world.set_work(small, 36);
     EXPECT_FALSE(begin(start + seconds{4}));
-    EXPECT_TRUE(begin(start + seconds{6})) << "the work has really turned";
+    EXPECT_TRUE(begin(start + seconds{6})) << "the load has shifted";
 }
 
 TEST_F(a_conversion, ends_with_its_group_without_its_runners_or_when_it_is_overdue)
@@ -169,9 +169,9 @@
 
     // Its group is formed.
     conversions.on_formed(large, {next->runners.begin(), next->runners.end()});
-    conversions.forget_finished(start, world.snapshot());
+    conversions.remove_finished(start, world.snapshot());
     EXPECT_EQ(conversions.count(), 0U);
-    EXPECT_EQ(conversions.kept_for(runner), nullptr);
+    EXPECT_EQ(conversions.reserved_for(runner), nullptr);
 
     // One of its runners is lost, and the others are too few for a group.
     next = begin(start + seconds{1});
@@ -180,15 +180,15 @@
     for (auto& each : without.runners) {
         each.usable = each.usable && each.latest->id != *next->runners.begin();
     }
-    conversions.forget_finished(start + seconds{1}, without);
+    conversions.remove_finished(start + seconds{1}, without);
     EXPECT_EQ(conversions.count(), 0U);
 
     // It takes too long.
     next = begin(start + seconds{2});
     ASSERT_TRUE(next);
-    EXPECT_FALSE(conversions.forget_finished(start + seconds{13}, world.snapshot()));
+    EXPECT_FALSE(conversions.remove_finished(start + seconds{13}, world.snapshot()));
     EXPECT_EQ(conversions.count(), 1U);
-    EXPECT_TRUE(conversions.forget_finished(start + seconds{14}, world.snapshot()));
+    EXPECT_TRUE(conversions.remove_finished(start + seconds{14}, world.snapshot()));
     EXPECT_EQ(conversions.count(), 0U);
 }
 
--- a/tests/fleet/group_evidence_test.cpp
+++ b/tests/fleet/group_evidence_test.cpp
@@ -21,21 +21,21 @@
         group.phase = plan_phase::disbanding;
         group.since = start;
         plan.add(group);
-        hear(start, head, group.name);
-        hear(start, member, group.name);
+        receive_heartbeat(start, head, group.name);
+        receive_heartbeat(start, member, group.name);
     }
     /// Delivers the runner's next heartbeat. It names the group `in`, or no group if `in` is empty.
-    void hear(instant now, const runner_id& runner, const group_id& in)
+    void receive_heartbeat(instant now, const runner_id& runner, const group_id& in)
     {
-        announcement told;
-        told.id = runner;
-        told.address = *endpoint::parse("10.0.0." + runner.str().substr(2) + ":80");
-        told.sequence = ++sequence;
+        announcement heartbeat;
+        heartbeat.id = runner;
+        heartbeat.address = *endpoint::parse("10.0.0." + runner.str().substr(2) + ":80");
+        heartbeat.sequence = ++sequence;
         if (!in.empty()) {
-            told.membership = group_membership{in, group.assignment, runner == head ? 0U : 1U,
-                                               member_phase::ready};
+            heartbeat.membership = group_membership{in, group.assignment, runner == head ? 0U : 1U,
+                                                    member_phase::ready};
         }
-        registry.announce(now, told);
+        registry.announce(now, heartbeat);
     }
     void free(const runner_id& runner)
     {
@@ -65,16 +65,16 @@
 {
     free(member);
     EXPECT_TRUE(plan.is_freed(registry.find(member)->latest));
-    EXPECT_FALSE(evidence.is_back(group, member)) << "that heartbeat is from before it left";
-    hear(start, member, group.name);
+    EXPECT_FALSE(evidence.has_rejoined(group, member)) << "that heartbeat is from before it left";
+    receive_heartbeat(start, member, group.name);
     EXPECT_FALSE(plan.is_freed(registry.find(member)->latest));
-    EXPECT_TRUE(evidence.is_back(group, member));
+    EXPECT_TRUE(evidence.has_rejoined(group, member));
 
     planned_group next = group;
     next.name = group_id{"next"};
     EXPECT_TRUE(evidence.is_in_other_group(next, member));
-    hear(start, member, {});
-    EXPECT_FALSE(evidence.is_back(group, member));
+    receive_heartbeat(start, member, {});
+    EXPECT_FALSE(evidence.has_rejoined(group, member));
     EXPECT_FALSE(evidence.is_in_other_group(next, member));
 }
 
@@ -86,15 +86,15 @@
     reborn.sequence = 1; // the new life carried out a delayed order to join
     ASSERT_TRUE(registry.announce(start, reborn));
     EXPECT_FALSE(plan.is_freed(registry.find(member)->latest));
-    EXPECT_TRUE(evidence.is_back(group, member));
+    EXPECT_TRUE(evidence.has_rejoined(group, member));
 }
 
 TEST_F(the_members_of_a_group, that_was_never_opened_are_free_whatever_they_report)
 {
     plan.free_unopened(group, member, birth{});
-    hear(start, member, group.name);
+    receive_heartbeat(start, member, group.name);
     EXPECT_TRUE(plan.is_freed(registry.find(member)->latest));
-    EXPECT_FALSE(evidence.is_back(group, member));
+    EXPECT_FALSE(evidence.has_rejoined(group, member));
 }
 
 TEST_F(the_members_of_a_group, are_replaced_once_another_runner_has_their_address)
@@ -102,24 +102,24 @@
     EXPECT_FALSE(evidence.is_replaced(member));
     registry.note_dead(member);
     EXPECT_TRUE(evidence.is_replaced(member));
-    EXPECT_TRUE(evidence.is_replaced(runner_id{"i-3"})) << "it is not known";
-    EXPECT_FALSE(evidence.is_head_out(start, group));
+    EXPECT_TRUE(evidence.is_replaced(runner_id{"i-3"})) << "a runner that is not in the registry";
+    EXPECT_FALSE(evidence.has_head_left(start, group));
     registry.note_dead(head);
-    EXPECT_TRUE(evidence.is_head_out(start, group));
+    EXPECT_TRUE(evidence.has_head_left(start, group));
 }
 
 TEST_F(the_members_of_a_group, without_a_heartbeat_are_not_out_of_it)
 {
     const auto later = start + seconds{30};
-    EXPECT_FALSE(evidence.is_head_out(later, group));
-    EXPECT_FALSE(evidence.is_head_heard(group));
-    EXPECT_FALSE(evidence.is_some_member_heard(later, group));
-    hear(later, member, group.name);
-    EXPECT_TRUE(evidence.is_some_member_heard(later, group));
-    EXPECT_FALSE(evidence.is_head_heard(group));
-    hear(later, head, {});
-    EXPECT_TRUE(evidence.is_head_heard(group));
-    EXPECT_FALSE(evidence.is_head_out(later, group)) << "it has not answered the order to leave";
+    EXPECT_FALSE(evidence.has_head_left(later, group));
+    EXPECT_FALSE(evidence.has_head_reported(group));
+    EXPECT_FALSE(evidence.is_other_member_present(later, group));
+    receive_heartbeat(later, member, group.name);
+    EXPECT_TRUE(evidence.is_other_member_present(later, group));
+    EXPECT_FALSE(evidence.has_head_reported(group));
+    receive_heartbeat(later, head, {});
+    EXPECT_TRUE(evidence.has_head_reported(group));
+    EXPECT_FALSE(evidence.has_head_left(later, group)) << "it has not answered the order to leave";
 }
 
 } // namespace
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -47,7 +47,7 @@
     }
     /// Adds a serving group of each model in another domain, so that the load of both can be
     /// measured.
-    void others_serve()
+    void add_serving_groups()
     {
         world.count_group(fabric_domain_id{"other"}, large, 1);
         world.count_group(fabric_domain_id{"other"}, small, 1);
@@ -104,7 +104,7 @@
 
 TEST_F(a_fleet_of_runners, forms_a_group_of_the_runners_that_join_soonest)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 3, {small});
     world.runner(0).id = runner_id{"z"};
     world.set_work(small, 5);
@@ -118,7 +118,7 @@
 
 TEST_F(a_fleet_of_runners, waits_for_no_weights_once_there_is_traffic)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {});
     world.set_work(large, 5);
     EXPECT_FALSE(propose());
@@ -132,20 +132,20 @@
 
 TEST_F(a_fleet_of_runners, serves_the_model_first_that_is_shortest_of_room)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 8, {large, small});
     world.set_work(small, 5);
     world.set_work(large, 4);
     EXPECT_EQ(propose()->model->name, small);
     world.set_work(large, 6);
     EXPECT_EQ(propose()->model->name, large);
-    world.expect(large, 1);
+    world.expect_groups(large, 1);
     EXPECT_EQ(propose()->model->name, small) << "a conversion will form one of the large";
 }
 
 TEST_F(a_fleet_of_runners, lets_runners_change_their_model_only_for_one_much_shorter_of_room)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 3, {small});
     for (std::size_t at = 0; at < 3; ++at) {
         world.set_loaded(at, large);
@@ -162,12 +162,12 @@
     for (std::size_t at = 0; at < 3; ++at) {
         world.set_loaded(at, small);
     }
-    EXPECT_TRUE(propose()) << "it costs nobody any weights";
+    EXPECT_TRUE(propose()) << "no runner loses loaded weights";
 }
 
 TEST_F(a_fleet_of_runners, takes_runners_that_have_loaded_nothing_before_those_that_change)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {small});
     world.set_loaded(0, large);
     world.set_work(small, 5);
@@ -178,12 +178,12 @@
 
 TEST_F(a_fleet_of_runners, leaves_runners_to_the_model_that_a_conversion_keeps_them_for)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {large, small});
     world.set_work(small, 9);
     ASSERT_EQ(propose()->model->name, small);
     for (std::size_t at = 0; at < 4; ++at) {
-        world.keep_for(at, large);
+        world.reserve_for(at, large);
         world.set_loaded(at, small);
     }
     EXPECT_EQ(propose()->model->name, large) << "the conversion has decided that they change";
@@ -194,14 +194,14 @@
     world.add("a", 7, {large, small});
     world.set_work(small, 50);
     world.count_group(fabric_domain_id{"other"}, small, 1);
-    EXPECT_EQ(propose()->model->name, small) << "5 of its slots are asked for";
+    EXPECT_EQ(propose()->model->name, small) << "load of 5 times its slots";
     world.set_work(small, 30);
-    EXPECT_EQ(propose()->model->name, large) << "its work is not known";
+    EXPECT_EQ(propose()->model->name, large) << "its load is not known";
 }
 
 TEST_F(a_fleet_of_runners, forms_a_group_of_loaded_runners_while_other_weights_are_copied)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 3, {});
     world.set_work(small, 5);
     for (std::size_t at = 0; at < 3; ++at) {
@@ -216,7 +216,7 @@
 
 TEST_F(a_fleet_of_runners, stages_what_the_next_group_lacks_and_not_more)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 3, {large});
     world.add("a", 1, {});
     world.set_work(large, 5);
@@ -232,7 +232,7 @@
 
 TEST_F(a_fleet_of_runners, stages_first_where_the_fewest_weights_are_missing)
 {
-    others_serve();
+    add_serving_groups();
     limiter.set_limits(100, 1); // one load at a time
     world.add("a", 4, {small});
     world.add("b", 3, {large});
@@ -258,7 +258,7 @@
 
 TEST_F(a_fleet_of_runners, stages_a_second_model_later_only_while_the_store_does_nothing_else)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {large});
     world.set_serving({0, 1, 2, 3}, large);
     EXPECT_EQ(stage().size(), 1U);
@@ -267,7 +267,7 @@
 
 TEST_F(a_fleet_of_runners, keeps_a_domain_to_the_model_that_its_runners_hold)
 {
-    others_serve();
+    add_serving_groups();
     limiter.set_limits(100, 1); // one load at a time
     world.add("a", 8, {large});
     world.set_serving({0, 1, 2, 3}, large);
@@ -283,7 +283,7 @@
 
 TEST_F(a_fleet_of_runners, prepares_runners_that_serve_for_a_model_much_shorter_of_room)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {});
     world.set_serving({0, 1, 2}, small);
     world.set_loaded(3, large);
@@ -298,7 +298,7 @@
 
 TEST_F(a_fleet_of_runners, repeats_an_order_to_stage_until_it_is_answered)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {});
     world.set_work(large, 5);
     const auto first = stage();
@@ -317,7 +317,7 @@
 
 TEST_F(a_fleet_of_runners, forgets_a_runner_that_never_answers_an_order_to_stage)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {});
     world.set_work(large, 5);
     runner_registry registry;
@@ -331,15 +331,15 @@
     for (std::size_t n = 1; n < 4; ++n) {
         staging.on_order_result(start, first[n].runner, large, order_result::taken);
     }
-    staging.forget_finished(start + seconds{6} - milliseconds{1}, registry);
+    staging.remove_finished(start + seconds{6} - milliseconds{1}, registry);
     EXPECT_EQ(staging.count(), 4U);
-    staging.forget_finished(start + seconds{6}, registry);
-    EXPECT_EQ(staging.count(), 3U) << "it holds no place of the store any more";
+    staging.remove_finished(start + seconds{6}, registry);
+    EXPECT_EQ(staging.count(), 3U) << "it no longer counts against the store's limit";
 }
 
 TEST_F(a_fleet_of_runners, keeps_the_second_model_of_a_runner_that_serves)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {small});
     world.set_serving({0, 1, 2, 3}, large);
     EXPECT_TRUE(stage().empty());
@@ -355,7 +355,7 @@
 
 TEST_F(a_fleet_of_runners, takes_weights_for_lost_after_twice_their_time)
 {
-    others_serve();
+    add_serving_groups();
     world.add("a", 4, {});
     world.set_work(large, 5);
     runner_registry registry;
@@ -370,9 +370,9 @@
         staging.on_order_result(start, order.runner, order.model, order_result::taken);
     }
     const auto under_way = staging.count();
-    staging.forget_finished(start + seconds{32} - milliseconds{1}, registry);
+    staging.remove_finished(start + seconds{32} - milliseconds{1}, registry);
     EXPECT_EQ(staging.count(), under_way);
-    staging.forget_finished(start + seconds{32}, registry);
+    staging.remove_finished(start + seconds{32}, registry);
     EXPECT_EQ(staging.count(), 0U);
 }
 
--- a/tests/fleet/runner_registry_test.cpp
+++ b/tests/fleet/runner_registry_test.cpp
@@ -54,12 +54,12 @@
     ASSERT_NE(record, nullptr);
     EXPECT_TRUE(registry.is_present(*record));
     EXPECT_EQ(record->latest.address.str(), "10.0.0.2:80");
-    EXPECT_FALSE(record->answered) << "it was the life before that answered";
+    EXPECT_FALSE(record->answered) << "the answer was from the earlier life";
     EXPECT_FALSE(
         registry.announce(start + seconds{2}, heartbeat_of_life(1000, "10.0.0.1:80", 6000)))
-        << "of the earlier life, however high its number";
+        << "a heartbeat of the earlier life, regardless of its number";
     EXPECT_TRUE(registry.announce(start + seconds{3}, heartbeat_of("i-2", "10.0.0.1:80", 9)))
-        << "the address that it left is free";
+        << "the address that it has left is free";
     EXPECT_TRUE(is_present(registry, "i-2"));
     EXPECT_TRUE(is_present(registry, "i-1"));
 }
@@ -82,7 +82,7 @@
     EXPECT_FALSE(is_present(registry, "i-1"));
     EXPECT_TRUE(is_present(registry, "i-2"));
     registry.announce(start + seconds{2}, heartbeat_of("i-1", "10.0.0.1:80", 41));
-    EXPECT_TRUE(is_present(registry, "i-2")) << "the old one's heartbeat was held up on its way";
+    EXPECT_TRUE(is_present(registry, "i-2")) << "the heartbeat of the previous owner was delayed";
 }
 
 TEST(an_address, is_not_taken_by_an_old_runner_that_a_new_leader_has_not_met)
@@ -97,12 +97,12 @@
 TEST(a_runner_from_the_log, counts_as_heard_until_it_falls_silent)
 {
     runner_registry registry;
-    registry.expect(start, heartbeat_of("i-1", "10.0.0.1:80", 0));
+    registry.add_assumed(start, heartbeat_of("i-1", "10.0.0.1:80", 0));
     EXPECT_TRUE(is_present(registry, "i-1"));
     EXPECT_TRUE(registry.find(runner_id{"i-1"})->assumed);
     EXPECT_TRUE(registry.announce(start, heartbeat_of("i-1", "10.0.0.1:80", 1)));
     EXPECT_FALSE(registry.find(runner_id{"i-1"})->assumed);
-    EXPECT_EQ(registry.forget_silent(start + seconds{61}, seconds{60}).size(), 1U);
+    EXPECT_EQ(registry.remove_silent(start + seconds{61}, seconds{60}).size(), 1U);
     EXPECT_EQ(registry.find(runner_id{"i-1"}), nullptr);
 }
 
--- a/tests/fleet/snapshot_maker.cpp
+++ b/tests/fleet/snapshot_maker.cpp
@@ -42,7 +42,7 @@
         next.failure_domain = failure_domain_id{domain.substr(0, 1)};
         next.fabric_domain = fabric_domain_id{domain};
         next.staged = staged;
-        places_[next.fabric_domain] = next.failure_domain;
+        failure_domains_[next.fabric_domain] = next.failure_domain;
         announced_.push_back(next);
     }
 }
@@ -58,7 +58,7 @@
 
 void snapshot_maker::count_group(const fabric_domain_id& domain, const model_id& model, int change)
 {
-    places_.try_emplace(domain, domain.str().substr(0, 1));
+    failure_domains_.try_emplace(domain, domain.str().substr(0, 1));
     groups_[{domain, model}] += static_cast<std::size_t>(change);
 }
 
@@ -93,7 +93,7 @@
     in_.groups_by_domain = groups_;
     for (const auto& [key, count] : groups_) {
         in_.groups[key.second] += count;
-        in_.groups_by_failure_domain[{places_.at(key.first), key.second}] += count;
+        in_.groups_by_failure_domain[{failure_domains_.at(key.first), key.second}] += count;
     }
     for (const auto& [model, requests] : work_) {
         in_.work[{pool().name, model}] = requests;
@@ -110,7 +110,7 @@
         next.free = find(serving_, at) == nullptr;
         next.staging = std::count(staging_.begin(), staging_.end(), at) > 0;
         next.last_model = find(loaded_, at);
-        next.kept_for = find(kept_for_, at);
+        next.reserved_for = find(reserved_for_, at);
         in_.runners.push_back(next);
     }
     for (const auto& each : in_.runners) {
--- a/tests/fleet/snapshot_maker.h
+++ b/tests/fleet/snapshot_maker.h
@@ -29,7 +29,7 @@
     [[nodiscard]] announcement& runner(std::size_t at) { return announced_.at(at); }
     void set_loaded(std::size_t at, const model_id& model) { loaded_[at] = model; }
     void set_staging(std::size_t at) { staging_.push_back(at); }
-    void keep_for(std::size_t at, const model_id& model) { kept_for_[at] = model; }
+    void reserve_for(std::size_t at, const model_id& model) { reserved_for_[at] = model; }
     /// Makes the runners serve in a group of the model.
     void set_serving(const std::vector<std::size_t>& runners, const model_id& model);
     /// Forms the proposed group.
@@ -39,7 +39,7 @@
     /// Sets the model's load: requests in service and rejected, as `work_average` reports them.
     void set_work(const model_id& model, double requests);
     /// Sets the number of groups that conversions will still form.
-    void expect(const model_id& model, std::size_t groups) { expected_[model] = groups; }
+    void expect_groups(const model_id& model, std::size_t groups) { expected_[model] = groups; }
 
     /// Returns the snapshot, valid until the next call of any member function.
     [[nodiscard]] const placement_snapshot& snapshot();
@@ -51,15 +51,15 @@
 
 private:
     fleet_configuration configuration_;
-    std::deque<announcement> announced_; ///< the snapshot points into it
+    std::deque<announcement> announced_; ///< snapshots point into it
     std::map<std::size_t, model_id> loaded_;
-    std::map<std::size_t, model_id> kept_for_;
+    std::map<std::size_t, model_id> reserved_for_;
     std::map<std::size_t, bool> serving_;
     std::vector<std::size_t> staging_;
     std::map<model_id, double> work_;
     std::map<model_id, std::size_t> expected_;
     std::map<std::pair<fabric_domain_id, model_id>, std::size_t> groups_;
-    std::map<fabric_domain_id, failure_domain_id> places_;
+    std::map<fabric_domain_id, failure_domain_id> failure_domains_;
     placement_snapshot in_;
 };
 
