--- a/include/cedarpoint/fleet/failure_detector.h
+++ b/include/cedarpoint/fleet/failure_detector.h
@@ -16,7 +16,7 @@
 /// The state of a group's member as the leader sees it.
 enum class member_state {
     present,  ///< sent a heartbeat or an answer recently, and reports to be a member
-    silent,   ///< a member whose heartbeat is overdue; it may have failed
+    silent,   ///< a member without recent heartbeat or answer; it may have failed
     draining, ///< has announced that it is leaving
     lost      ///< unknown, replaced at its address, or not reporting the group and epoch
 };
@@ -40,7 +40,8 @@
     [[nodiscard]] bool is_suspected(const runner_id& runner) const;
     /// Returns true if several consecutive probes were not answered.
     [[nodiscard]] bool is_unresponsive(const runner_id& runner) const;
-    /// Returns true if the runner's heartbeat is overdue.
+    /// Returns true if neither a heartbeat nor a probe answer of the runner has arrived for one and
+    /// a half heartbeat intervals.
     [[nodiscard]] bool is_silent(instant now, const runner_record& record) const;
     [[nodiscard]] member_state state_of(instant now, const planned_group& group,
                                         const runner_id& member) const;
--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -102,7 +102,7 @@
     group_planner planner_;
     view_builder view_builder_;
     std::optional<fleet_configuration> configuration_;
-    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be read
+    std::uint64_t unreadable_version_ = 0; ///< of the latest unreadable configuration
     view_source view_;
     std::uint64_t viewed_version_ = 0; ///< of the configuration in the view
     follower_tracker followers_;
@@ -110,7 +110,7 @@
     permit_allocator rate_limits_;
     quarantine_controller quarantine_;
     std::map<runner_id, birth> drained_; ///< departures proposed to the log in this term
-    std::vector<planner_step> records_;  ///< commands for the log, until the next tick
+    std::vector<planner_step> records_;  ///< commands for the log, collected until the next tick
     std::uint64_t term_ = 0;
 };
 
--- a/include/cedarpoint/fleet/group_evidence.h
+++ b/include/cedarpoint/fleet/group_evidence.h
@@ -23,17 +23,17 @@
     /// Returns the reason why the member counts as lost, for the log.
     [[nodiscard]] std::string describe_loss(instant now, const planned_group& group,
                                             const runner_id& member) const;
-    /// Returns true if no order can reach the runner any more: the registry no longer has it, or
+    /// Returns true if orders can no longer reach the runner: the registry has no record of it, or
     /// another runner has its address.
     [[nodiscard]] bool is_replaced(const runner_id& runner) const;
-    /// Returns true if the head was freed from the group and does not report it any more, or if the
-    /// head is replaced.
+    /// Returns true if the head was freed from the group and no longer reports it, or if the head
+    /// is replaced.
     [[nodiscard]] bool has_head_left(instant now, const planned_group& group) const;
     /// Returns true if the head sent a heartbeat or answered a probe since the group entered its
     /// phase.
     [[nodiscard]] bool has_head_reported(const planned_group& group) const;
     /// Returns true if a member other than the head is present or draining. A draining member
-    /// counts even if its heartbeat is overdue.
+    /// counts even without a recent heartbeat or answer.
     [[nodiscard]] bool is_other_member_present(instant now, const planned_group& group) const;
     /// Returns true if the runner's latest heartbeat names another group that it has not been freed
     /// from.
--- a/include/cedarpoint/fleet/planned_group.h
+++ b/include/cedarpoint/fleet/planned_group.h
@@ -49,8 +49,8 @@
     [[nodiscard]] const runner_id& head() const { return members.front(); }
 };
 
-/// Returns the name of a group: the head's id and the epoch, so that a new leader can tell the head
-/// before it has received a heartbeat of it.
+/// Returns the name of a group: the head's id and the epoch, so that a new leader can identify the
+/// head before it has received a heartbeat of it.
 [[nodiscard]] group_id make_group_name(const runner_id& head, epoch assignment);
 /// Returns the head that `name` was made from.
 [[nodiscard]] runner_id head_of(const group_id& name);
