--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -9,8 +9,8 @@
 namespace cedarpoint {
 namespace {
 
-/// A runner that was silent for this long is forgotten.
-constexpr duration forget_after = seconds{60};
+/// A runner without a heartbeat or answer for this long is removed from the registry.
+constexpr duration removal_timeout = seconds{60};
 
 planner_step make_record(std::string command)
 {
@@ -48,7 +48,8 @@
     rate_limits_.clear(term);
     quarantine_.clear();
     for (const auto& request : state_.lifted()) {
-        quarantine_.on_lifted(now, request); // daemons may report again what was before
+        // Entry daemons may report crashes from before the lifting again.
+        quarantine_.on_lifted(now, request);
     }
     view_ = {};
     viewed_version_ = 0;
@@ -56,7 +57,7 @@
     drained_.clear();
     for (auto& runner : runners_in_log(state_)) {
         quarantine_.expect(runner.id, runner.born);
-        registry_.expect(now, std::move(runner));
+        registry_.add_assumed(now, std::move(runner));
     }
     planner_.begin_term(now, term);
     take_configuration();
@@ -83,7 +84,7 @@
 {
     take_configuration();
     auto steps = std::exchange(records_, {});
-    for (const auto& runner : registry_.forget_silent(now, forget_after)) {
+    for (const auto& runner : registry_.remove_silent(now, removal_timeout)) {
         steps.push_back(make_record(fleet_state::remove_runner(runner)));
         rate_limits_.forget(runner);
         quarantine_.forget(runner);
@@ -118,7 +119,7 @@
 
 bool fleet_leader::announce(instant now, const announcement& in)
 {
-    // An entry that names a service of nobody must not take the address of a runner in use.
+    // A heartbeat that names an unconfigured service must not take the address of a runner in use.
     const auto earlier_owner = registry_.find_other_owner(in);
     const bool is_known = !configuration_ || configuration_->find_service(in.service) != nullptr;
     if ((!is_known && earlier_owner) || !registry_.announce(now, in)) {
@@ -142,10 +143,10 @@
 void fleet_leader::note_life(instant now, const announcement& in,
                              const std::optional<runner_id>& earlier_owner)
 {
-    tell_crashes(now, quarantine_.on_heard(now, in.id, in.born));
+    report_crashes(now, quarantine_.on_heard(now, in.id, in.born));
     if (const auto* earlier = earlier_owner ? registry_.find(*earlier_owner) : nullptr;
         earlier != nullptr && earlier->superseded) {
-        tell_crashes(now, quarantine_.on_replaced(now, *earlier_owner));
+        report_crashes(now, quarantine_.on_replaced(now, *earlier_owner));
     }
 }
 
@@ -171,15 +172,15 @@
     if (record == nullptr || state_.is_leaving(runner)) {
         return;
     }
-    const auto told = life == birth{} ? record->latest.born : life;
-    if (told < record->latest.born) {
-        return; // an earlier life has said so
+    const auto departed_life = life == birth{} ? record->latest.born : life;
+    if (departed_life < record->latest.born) {
+        return; // the answer came from an earlier life
     }
-    const auto [found, is_first] = drained_.try_emplace(runner, told);
-    if (!is_first && std::exchange(found->second, told) == told) {
+    const auto [found, is_first] = drained_.try_emplace(runner, departed_life);
+    if (!is_first && std::exchange(found->second, departed_life) == departed_life) {
         return;
     }
-    records_.push_back(make_record(fleet_state::depart(runner, false, told)));
+    records_.push_back(make_record(fleet_state::depart(runner, false, departed_life)));
     if (on_leave_heard) {
         on_leave_heard(runner);
     }
@@ -217,7 +218,7 @@
     auto out = view_.since(from);
     out.set_term(term_);
     out.set_leading(true);
-    if (planner_.is_settled(now)) { // before that it has not heard from all of them
+    if (planner_.is_settled(now)) { // before that, not all followers have reported
         out.set_followers(static_cast<std::uint32_t>(reports_.count_followers(now)));
     }
     for (const auto& runner : planner_.suspects()) {
@@ -241,8 +242,9 @@
     }
     const auto made_at = clocks_.sent_at(now, follower, in.stamp_us());
     take_crashes(now, follower, decode_crashes(made_at, in.suspected()));
-    // Not counted yet: `cuts` also holds connections that were made while the runner was away, and
-    // a sound request that is sent into those of several runners would be taken for their cause.
+    // `cuts` is not evaluated: it also contains connections that were made while the runner was
+    // down. A sound request that was sent over such connections of several runners would be taken
+    // for the cause of their ends.
     const auto confirmed = in.term() == term_ ? in.version() : 0;
     const auto from = followers_.on_report(now, follower, confirmed, in.behind(), view_.version());
     auto out = make_update(now, from);
@@ -254,7 +256,8 @@
 
 void fleet_leader::take_rate_limits(instant now, const daemon_id& follower, rate_limit_sightings in)
 {
-    // A runner that was forgotten is not taken up again: reports of it would never end.
+    // Reports on runners that are no longer in the registry are dropped, because nothing would ever
+    // remove them.
     std::erase_if(in, [&](const auto& each) { return registry_.find(each.first) == nullptr; });
     rate_limits_.on_report(now, follower, in);
 }
@@ -263,12 +266,12 @@
 {
     const auto reported = seen_by(follower, std::move(in));
     quarantine_.on_report(reported);
-    tell_crashes(now, reported);
+    report_crashes(now, reported);
 }
 
-void fleet_leader::tell_crashes(instant now, const crash_histories& news) const
+void fleet_leader::report_crashes(instant now, const crash_histories& reported) const
 {
-    for (const auto& [request, history] : news) {
+    for (const auto& [request, history] : reported) {
         if (const auto* known = quarantine_.find(request); on_crashes && known != nullptr) {
             on_crashes(now, request, *known);
         }
--- a/src/fleet/view_builder.cpp
+++ b/src/fleet/view_builder.cpp
@@ -6,8 +6,8 @@
 namespace cedarpoint {
 namespace {
 
-/// A plain runner that was not heard for this many heartbeats is left out of the view.
-constexpr int heartbeats_to_lose = 3;
+/// A plain runner without contact for this many heartbeat intervals is omitted from the view.
+constexpr int heartbeats_until_lost = 3;
 
 /// `Runner` is an `announcement` or a `registered_runner`.
 template <class Runner>
@@ -30,7 +30,7 @@
     return {in.name, in.assignment, in.service, in.model, in.members, accepting};
 }
 
-/// True if requests go to the service's runners themselves, not to heads of groups.
+/// Returns true if requests go to the service's runners directly rather than to heads of groups.
 bool is_plain(const fleet_service* service)
 {
     return service == nullptr || !service->engine;
@@ -57,7 +57,7 @@
 {
     return registry_.is_present(record) && !record.latest.draining &&
            !state_.is_leaving(record.latest.id) &&
-           now - record.heard < heartbeat_ * heartbeats_to_lose;
+           now - record.last_contact < heartbeat_ * heartbeats_until_lost;
 }
 
 void view_builder::add_plain_runners(instant now, const fleet_configuration& configuration,
--- a/src/fleet/weight_staging.cpp
+++ b/src/fleet/weight_staging.cpp
@@ -9,24 +9,25 @@
 namespace cedarpoint {
 namespace {
 
-/// Weights that have not arrived after this many times their load time are taken for lost, and the
+/// A transfer that is not complete after this many times the load time counts as failed, and the
 /// runner may be chosen again.
 constexpr int load_times_to_overdue = 2;
 
-/// An order that was not answered with success is sent again after the first, and the runner counts
-/// as one without weights under way after the second: until then it holds a place of the store.
+/// An order that has failed or was not answered is sent again after `repeat_interval`. After
+/// `unanswered_limit` without success the transfer is dropped; until then it occupies one of the
+/// store's concurrent loads.
 constexpr duration repeat_interval = seconds{1};
 constexpr duration unanswered_limit = seconds{6};
 
-/// The least factor on the worth of a group of a model that few runners of the fabric domain hold.
-/// Survivors of two groups of one model make a third without the store, so a domain keeps to its
-/// model.
-constexpr double least_home_factor = 0.1;
+/// Lower bound of the factor by which a group's value is reduced if few runners of the fabric
+/// domain hold its model. It favours one model in each domain, because the survivors of two groups
+/// of one model can form a third without the store.
+constexpr double min_affinity_factor = 0.1;
 
-/// Stands for the work of a group that lacks no weights, so that its worth is finite.
-constexpr double shortest_work_s = 0.1;
+/// Added to the load time, so that the value of a group that lacks no weights is finite.
+constexpr double base_load_s = 0.1;
 
-/// The service's models, the one that is shortest of room first.
+/// Returns the service's models by falling utilization.
 std::vector<const engine_model*> by_utilization(const placement_snapshot& in,
                                                 const fleet_service& service)
 {
@@ -42,7 +43,7 @@
     return out;
 }
 
-/// True if the runner serves one model and its host holds no weights of another.
+/// Returns true if the runner serves a model and its host holds no weights of another one.
 bool lacks_alternate(const runner_snapshot& runner)
 {
     const auto& staged = runner.latest->staged;
@@ -51,15 +52,15 @@
                        [&](const model_id& model) { return model == *runner.last_model; });
 }
 
-/// What a completion is worth for each second that the store works for it: the part of the slots
-/// that the model's work takes, over the time of the loads. Without any load it goes before all.
+/// Returns the value of a completion per second of loading from the store: the model's utilization
+/// divided by the total load time. Without any load it is finite because of `base_load_s`.
 double completion_worth(const placement_snapshot& in, const fleet_service& service,
                         const engine_model& model, std::size_t lacking)
 {
     const auto groups = in.count_with_expected(model.name);
     const auto load_s = std::chrono::duration<double>(model.load_time).count();
     return utilization_with(in, service, model, groups) /
-           (load_s * static_cast<double>(lacking) + shortest_work_s);
+           (load_s * static_cast<double>(lacking) + base_load_s);
 }
 
 bool all_can_join_soon(const weight_staging::runner_list& runners, std::size_t first,
@@ -72,7 +73,7 @@
 
 } // namespace
 
-/// What one call of `plan` works with.
+/// The inputs and the result of one call of `plan`.
 struct weight_staging::plan_step {
     instant now;
     const placement_snapshot& in;
@@ -80,14 +81,14 @@
     std::vector<staging_order> orders;
 };
 
-/// Weights that would complete one group.
+/// The weights that one group lacks.
 struct weight_staging::completion {
     const engine_model* model = nullptr;
     std::vector<const runner_snapshot*> lacking; ///< the runners to stage on
-    double worth = 0;                            ///< the highest goes first
+    double worth = 0;                            ///< the highest is staged first
 };
 
-void weight_staging::forget_finished(instant now, const runner_registry& registry)
+void weight_staging::remove_finished(instant now, const runner_registry& registry)
 {
     std::erase_if(under_way_, [&](const auto& each) {
         const auto& [runner, transfer] = each;
@@ -196,7 +197,7 @@
         std::copy_if(runners.begin(), runners.end(), std::back_inserter(left),
                      [&](const runner_snapshot* runner) {
                          return runner->latest->service == service.name &&
-                                runner->kept_for == nullptr;
+                                runner->reserved_for == nullptr;
                      });
         while (auto next = find_completion(step.in, service, models, domain, left)) {
             all.push_back(std::move(*next));
@@ -219,7 +220,7 @@
 {
     const auto& to = *models.front();
     std::vector<const runner_snapshot*> best;
-    for (const auto& [domain, runners] : find_takeable(step.in, service, models)) {
+    for (const auto& [domain, runners] : find_convertible(step.in, service, models)) {
         runner_list lacking;
         std::copy_if(runners.begin(), runners.end(), std::back_inserter(lacking),
                      [&](const runner_snapshot* runner) { return !will_have(*runner, to); });
@@ -242,14 +243,14 @@
 }
 
 std::map<fabric_domain_id, weight_staging::runner_list>
-weight_staging::find_takeable(const placement_snapshot& in, const fleet_service& service,
-                              const std::vector<const engine_model*>& models)
+weight_staging::find_convertible(const placement_snapshot& in, const fleet_service& service,
+                                 const std::vector<const engine_model*>& models)
 {
     const auto& to = *models.front();
     std::map<fabric_domain_id, runner_list> out;
     for (const auto& runner : in.runners) {
         const bool usable = runner.latest->service == service.name && runner.usable &&
-                            runner.settled && runner.kept_for == nullptr;
+                            runner.settled && runner.reserved_for == nullptr;
         if (!usable) {
             continue;
         }
@@ -261,10 +262,10 @@
         const auto* from = runner.last_model == nullptr
                                ? nullptr
                                : in.configuration->find_model(service.name, *runner.last_model);
-        const bool gives =
+        const bool is_donor =
             from != nullptr && from->name != to.name &&
             is_worth_switching(in, service, *from, in.count_with_expected(from->name), to);
-        if (gives) {
+        if (is_donor) {
             there.push_back(&runner);
         }
     }
@@ -297,13 +298,13 @@
             }
             return taken;
         });
-        // Placement has not formed a group that lacks nothing: it is not worth its runners now.
+        // A group that lacks no weights is left to placement, which has decided against it for now.
         const bool declined = next.lacking.empty() && all_can_join_soon(left, ready, *model);
         if (declined || ready + next.lacking.size() < model->group_size) {
             continue;
         }
         next.worth = completion_worth(in, service, *model, next.lacking.size()) *
-                     home_factor(held, model->name);
+                     affinity_factor(held, model->name);
         if (!best || next.worth > best->worth) {
             best = std::move(next);
             best_left = std::move(others);
@@ -327,7 +328,7 @@
         const auto held = count_held(step.in, runner.latest->fabric_domain);
         const auto* most = *std::max_element(
             models.begin(), models.end(), [&](const engine_model* a, const engine_model* b) {
-                return home_factor(held, a->name) < home_factor(held, b->name);
+                return affinity_factor(held, a->name) < affinity_factor(held, b->name);
             });
         begin(step, runner, *most);
     }
@@ -355,7 +356,7 @@
     return out;
 }
 
-double weight_staging::home_factor(const model_counts& held, const model_id& model)
+double weight_staging::affinity_factor(const model_counts& held, const model_id& model)
 {
     std::size_t all = 0;
     for (const auto& [each, count] : held) {
@@ -365,7 +366,7 @@
     const auto own = found == held.end() ? 0 : found->second;
     return all == 0
                ? 1
-               : std::max(static_cast<double>(own) / static_cast<double>(all), least_home_factor);
+               : std::max(static_cast<double>(own) / static_cast<double>(all), min_affinity_factor);
 }
 
 void weight_staging::stage_alternates(plan_step& step, const fleet_service& service,
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -1,4 +1,4 @@
-// What the leading control daemon tells its followers, without sockets.
+// Updates from the leading control daemon to its followers, without sockets.
 
 #include "cedarpoint/core/packing.h"
 #include "cedarpoint/fleet/fleet_leader.h"
@@ -64,7 +64,7 @@
     ASSERT_EQ(ask(milliseconds{0}, 0).items_size(), 1);
     EXPECT_EQ(ask(milliseconds{200}, 0).items_size(), 0);
     EXPECT_EQ(ask(milliseconds{400}, 0).items_size(), 0);
-    EXPECT_EQ(ask(milliseconds{1100}, 0).items_size(), 1) << "it may be lost by now";
+    EXPECT_EQ(ask(milliseconds{1100}, 0).items_size(), 1) << "after 1 s the update counts as lost";
 }
 
 TEST_F(a_leader_with_a_large_configuration, sends_it_again_to_one_that_misses_it)
@@ -97,7 +97,7 @@
     ASSERT_EQ(ask(milliseconds{200}, lost).items_size(), 0) << "it is up to date";
     bool up_to_date = false;
     for (int round = 1; round <= 30 && !up_to_date; ++round) {
-        // A change every 50 ms, and its first push is lost; every push after it does not fit.
+        // A change every 50 ms. The first pushed update is lost, so each later one shows a gap.
         const auto now = start + milliseconds{200} + milliseconds{50} * round;
         const auto version = static_cast<std::uint64_t>(round) + 1;
         state.apply(fleet_state::put_configuration(version, document(2, 10)));
@@ -142,7 +142,7 @@
         const auto read = installed_platform().read_configuration(state.document(), why);
         return make_provisional_update(state, *read, index);
     }
-    void hear(const wire::fleet_update& update)
+    void receive_update(const wire::fleet_update& update)
     {
         wire::envelope in;
         in.set_from("10.0.0.1:7000");
@@ -159,29 +159,31 @@
 
 TEST_F(a_follower_without_a_leader, begins_with_what_a_log_holds_for_certain)
 {
-    hear(provisional(5, 40));
+    receive_update(provisional(5, 40));
     EXPECT_EQ(views, 1);
     EXPECT_EQ(follower.view().configuration()->revision(), 5U);
     EXPECT_TRUE(follower.view().items().contains(runner_key("i-1")));
-    EXPECT_EQ(follower.followers(), 0U) << "how many share its limits is not known";
-    hear(provisional(4, 30));
+    EXPECT_EQ(follower.followers(), 0U)
+        << "the number of daemons that share its limits is not known";
+    receive_update(provisional(4, 30));
     EXPECT_EQ(follower.view().configuration()->revision(), 5U) << "an older log changes nothing";
-    hear(provisional(6, 50));
+    receive_update(provisional(6, 50));
     EXPECT_EQ(follower.view().configuration()->revision(), 6U);
 }
 
 TEST_F(a_follower_without_a_leader, takes_any_leaders_view_instead_and_none_from_a_log_after_it)
 {
-    hear(provisional(5, 40));
+    receive_update(provisional(5, 40));
     wire::fleet_update led;
     led.set_term(2);
     led.set_leading(true);
     led.set_reset(true);
     led.set_to(1);
-    hear(led);
+    receive_update(led);
     EXPECT_TRUE(follower.view().items().empty());
-    EXPECT_EQ(follower.view().configuration()->revision(), 5U) << "it never goes back";
-    hear(provisional(9, 90));
+    EXPECT_EQ(follower.view().configuration()->revision(), 5U)
+        << "an older revision is never restored";
+    receive_update(provisional(9, 90));
     EXPECT_EQ(follower.view().configuration()->revision(), 5U);
 }
 
@@ -195,10 +197,9 @@
     return out;
 }
 
-// What was seen: nothing yet; an entry of another writer at the address of a runner in use was
-// taken for the runner that has the address now.
-// How it came about: any service would do, also one that no configuration has.
-// What proved it: the runner in use was no longer its address's owner.
+// Guards against a heartbeat with the address of a runner in use taking over that address although
+// no configuration has the service that it names. The runner in use would then no longer count as
+// present.
 TEST_F(a_leader_with_a_large_configuration, keeps_a_runner_whose_address_a_service_of_nobody_names)
 {
     ASSERT_TRUE(leader.announce(start, heartbeat_of("i-1", "shop", 40)));
@@ -207,11 +208,11 @@
     ASSERT_NE(in_use, nullptr);
     EXPECT_TRUE(leader.registry().is_present(*in_use));
     EXPECT_TRUE(leader.announce(start + seconds{2}, heartbeat_of("i-2", "shop", 1)))
-        << "one of a service that is known may have the address now";
+        << "a runner of a configured service may take over the address";
 }
 
-// Guards against a runner that leaves getting requests from daemons that it has not told itself,
-// because its own heartbeats still say that it is ready.
+// Guards against a leaving runner that still receives requests from daemons that it has not
+// notified itself, because its own heartbeats still report it as ready.
 TEST_F(a_leader_with_a_large_configuration, drains_a_runner_that_has_told_a_daemon_that_it_leaves)
 {
     const runner_id runner{"i-1"};
@@ -223,7 +224,7 @@
             state.apply(step.command);
         }
     };
-    const auto tell = [&](std::uint64_t born) {
+    const auto report_leaving = [&](std::uint64_t born) {
         wire::fleet_follow report;
         report.add_leaving()->set_runner("i-1");
         report.mutable_leaving(0)->set_born(born);
@@ -231,16 +232,17 @@
         apply_all();
     };
     apply_all();
-    tell(999);
-    EXPECT_FALSE(state.is_leaving(runner)) << "an earlier life has said so";
-    tell(1000);
+    report_leaving(999);
+    EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier life";
+    report_leaving(1000);
     EXPECT_TRUE(state.is_leaving(runner));
     alive.sequence = 2;
     leader.announce(start + milliseconds{10}, alive);
     leader.begin_term(start + milliseconds{20}, 2);
-    EXPECT_TRUE(state.is_leaving(runner)) << "whatever its heartbeats say, and the next leader";
+    EXPECT_TRUE(state.is_leaving(runner))
+        << "regardless of its heartbeats and of the change of leader";
 
-    // A new life under its id.
+    // The runner restarts under its id.
     alive.born = birth{2000};
     alive.sequence = 1;
     leader.announce(start + milliseconds{30}, alive);
