--- a/include/cedarpoint/fleet/answer_verdict.h
+++ b/include/cedarpoint/fleet/answer_verdict.h
@@ -6,16 +6,16 @@
 
 namespace cedarpoint {
 
-/// What a runner's whole answer shows.
+/// Properties of a runner's complete answer.
 struct answer_facts {
     int status = 0;
-    bool disclaims = false;    ///< the runner says that it did not run the request
-    bool is_authentic = false; ///< it bears this request's id and a runner's signature, unencoded
-    bool caller_has_events = false; ///< the caller has got part of a stream already
-    bool asks_for_pause = false;    ///< the runner is well, and wants nothing for a while
+    bool disclaims = false;         ///< the runner states that it did not run the request
+    bool is_authentic = false;      ///< has this request's id and a runner's signature; not encoded
+    bool caller_has_events = false; ///< the caller has already received part of a stream
+    bool asks_for_pause = false;    ///< the runner is healthy and asks for no requests for a while
 };
 
-/// What an attempt's end says about its target.
+/// How the end of an attempt counts for its target.
 enum class target_effect { none, success, failure };
 
 /// How an attempt ended, and why.
@@ -25,11 +25,12 @@
     std::string why;
 };
 
-/// Judges a whole answer that is not a stream of events. A 421 counts as a disclaimer: another
-/// runner than the expected one has the address.
+/// Classifies a complete answer that is not a stream of events. A 421 counts as not run: a runner
+/// other than the expected one has the address.
 [[nodiscard]] attempt_verdict judge_answer(const answer_facts& in);
 
-/// Judges a stream that its runner has ended in order; `cut_within_event`: after part of an event.
+/// Classifies a stream whose HTTP answer is complete. `cut_within_event`: it ended after part of an
+/// event.
 [[nodiscard]] attempt_verdict judge_stream_end(bool cut_within_event);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/fleet_messages.h
+++ b/include/cedarpoint/fleet/fleet_messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Decodes what daemons of a fleet send each other into the types that the decisions work on, and
-// encodes these. The only place, beside the view and the log, that knows the message types.
+// Converts between the messages that a fleet's daemons exchange and the types that decisions are
+// made on, so that the rules do not depend on the message types.
 
 #include "cedarpoint/core/endpoint.h"
 #include "cedarpoint/core/ids.h"
@@ -23,19 +23,21 @@
 using view_items = std::map<std::string, wire::fleet_item>;
 
 [[nodiscard]] view_items encode(const view_content& in);
-/// Leaves out runners without a valid address; a leader sends none.
+/// Omits runners without a valid address; a leader sends none.
 [[nodiscard]] view_content decode(const view_items& in);
 
+/// Converts a health report except its `crashes` and `cuts`, which are converted separately
+/// (`encode_crashes`, `decode_crashes`).
 void encode(const health_report& in, wire::fleet_follow& out);
 [[nodiscard]] health_report decode_report(const wire::fleet_follow& in);
 
-/// The update that holds the provisional view as of the log's entry `index`, the last one applied
-/// to `state`. Its term is 0, so that any leader's view replaces it.
+/// Returns an update with the provisional view after the log entry `index`, the last one applied to
+/// `state`. Its term is 0, so that the view of any leader replaces it.
 [[nodiscard]] wire::fleet_update make_provisional_update(const fleet_state& state,
                                                          const fleet_configuration& configuration,
                                                          std::uint64_t index);
 
-/// A runner that the leader can't reach and asks entry daemons to try.
+/// A runner that the leader cannot reach. Entry daemons are asked to try to connect to it.
 struct suspect {
     runner_id runner;
     endpoint address;
@@ -43,11 +45,11 @@
 [[nodiscard]] std::vector<suspect> decode_suspects(const wire::fleet_update& in);
 
 void encode_loads(const std::map<runner_id, int>& in_flight, wire::fleet_update& out);
-/// Requests in flight at each runner from other entry daemons; empty if the update is a pushed
-/// change of the view, which holds no loads.
+/// Returns the requests in flight at each runner from other entry daemons; empty if the update is a
+/// pushed change of the view, which does not contain these counts.
 [[nodiscard]] std::optional<std::map<runner_id, int>> decode_loads(const wire::fleet_update& in);
 
-/// What the leader says of rate limits to one entry daemon; part of the answer to its report.
+/// Adds the rate limits and permits for one entry daemon to the leader's answer to its report.
 void encode_grants(const std::map<runner_id, permit_grant>& in, wire::fleet_update& out);
 [[nodiscard]] std::map<runner_id, permit_grant> decode_grants(const wire::fleet_update& in);
 
--- a/include/cedarpoint/fleet/fleet_view.h
+++ b/include/cedarpoint/fleet/fleet_view.h
@@ -9,40 +9,42 @@
 
 namespace cedarpoint {
 
-/// The leader's side of the view: records by key, each with the version of its latest change.
+/// The leader's copy of the view: records by key, each with the version of its latest change. Makes
+/// the updates for entry daemons.
 class view_source {
 public:
-    /// Replaces runners and groups; only records that differ get a new version.
+    /// Replaces all records but the configuration. Only records that differ get a new version.
     void replace(const std::map<std::string, wire::fleet_item>& items);
     void set_configuration(const wire::accepted_configuration& configuration);
     [[nodiscard]] std::uint64_t version() const { return version_; }
-    /// What has changed since `from`; the whole view if that is 0 or unknown here.
+    /// Returns the changes since version `from`; the whole view if `from` is 0, newer than this
+    /// view, or too old for a delta.
     [[nodiscard]] wire::fleet_update since(std::uint64_t from) const;
 
 private:
     struct record {
         wire::fleet_item item;
-        std::string bytes; ///< of the item, to see whether it has changed
+        std::string bytes; ///< serialized item without its version, to detect changes
     };
 
     void put(const std::string& key, wire::fleet_item item);
 
-    std::map<std::string, record> records_; ///< removed ones stay, so that deltas can tell it
+    std::map<std::string, record> records_; ///< removed ones are kept as tombstones for deltas
     std::uint64_t version_ = 0;
-    std::uint64_t oldest_ = 0; ///< deltas from before this can't be told
+    std::uint64_t oldest_ = 0; ///< oldest version from which a delta can be made
 };
 
-/// An entry daemon's side: takes updates in order and never goes back to an older one.
+/// An entry daemon's copy of the view. Applies updates in order and never returns to an older one.
 class view_copy {
 public:
-    /// Whether an update was news.
+    /// Result of an update. `gap`: the update does not follow on this copy's version.
     enum class outcome { applied, unchanged, stale, gap };
 
     outcome take(const wire::fleet_update& update);
     [[nodiscard]] std::uint64_t term() const { return term_; }
     [[nodiscard]] std::uint64_t version() const { return version_; }
     [[nodiscard]] const std::map<std::string, wire::fleet_item>& items() const { return items_; }
-    /// The configuration with the highest version that was ever taken; null before the first.
+    /// Returns the configuration with the highest revision received so far; null before the first.
     [[nodiscard]] const wire::accepted_configuration* configuration() const;
 
 private:
@@ -54,7 +56,7 @@
     std::uint64_t version_ = 0;
 };
 
-/// Keys of the view's records.
+// Keys of the view's records.
 std::string configuration_key();
 std::string runner_key(const std::string& runner);
 std::string group_key(const std::string& group);
--- a/include/cedarpoint/fleet/health_report.h
+++ b/include/cedarpoint/fleet/health_report.h
@@ -11,39 +11,41 @@
 
 namespace cedarpoint {
 
-/// What one entry daemon observed of one runner that it sends requests to.
+/// Observations of one entry daemon about a runner that it sends requests to.
 struct runner_observation {
-    int in_flight = 0;                 ///< requests that have not ended yet
-    milliseconds silence{0};           ///< since the latest byte, while requests are in flight
-    milliseconds since_byte{0};        ///< since the latest byte at all
-    std::uint32_t failed_connects = 0; ///< connections not made since the latest byte
-    bool refused = false;              ///< the address answered a connection with a reset
-    std::uint32_t waits = 0;           ///< pauses or response times since the previous report
+    int in_flight = 0;                 ///< requests that have not ended
+    milliseconds silence{0};           ///< time since the latest byte while requests are in flight
+    milliseconds since_byte{0};        ///< time since the latest byte, in any state
+    std::uint32_t failed_connects = 0; ///< failed connection attempts since the latest byte
+    bool refused = false;              ///< a connection was reset since the latest byte
+    std::uint32_t waits = 0;           ///< event gaps or response times since the previous report
     duration waited{};                 ///< sum of those waits
 };
 
-/// One attempt of an entry daemon to connect to a runner that the leader can't reach.
+/// Result of an entry daemon's attempt to connect to a runner that the leader cannot reach.
 struct reachability_check {
-    milliseconds age{0}; ///< since the attempt began, when the report was made
+    milliseconds age{0}; ///< time from the start of the attempt to the report
     bool reachable = false;
 };
 
 /// Requests for one model since the previous report.
 struct model_demand {
     std::uint32_t started = 0;
-    std::uint32_t rejected = 0; ///< answered with a refusal because no group had room
+    std::uint32_t rejected = 0; ///< answered with "not run", because no group served them
 };
 
-/// What an entry daemon reports to the leading control daemon, several times a second.
+/// Report of an entry daemon to the leading control daemon, sent several times a second.
 struct health_report {
     std::map<runner_id, runner_observation> runners;
     std::map<runner_id, reachability_check> checks;
     std::map<model_id, model_demand> demand;
     rate_limit_sightings rate_limits;
-    crash_histories crashes; ///< of requests under which runners have ended
-    crash_histories cuts;    ///< at runners of which it is not known whether they have ended
-    /// Runners that have said in an answer that they leave, in the lives that said so, while the
-    /// view still shows them as accepting.
+    crash_histories crashes; ///< requests during which runners crashed
+    /// Requests whose connections were cut while it is not known whether the runner crashed. The
+    /// leader does not count them.
+    crash_histories cuts;
+    /// Runners that have said in an answer that they leave, each with the start time of the process
+    /// that said so. Reported for as long as the view shows them as accepting.
     std::map<runner_id, birth> leaving;
 };
 
--- a/include/cedarpoint/fleet/health_reports.h
+++ b/include/cedarpoint/fleet/health_reports.h
@@ -12,35 +12,37 @@
 
 namespace cedarpoint {
 
-/// What all entry daemons together observe of one runner.
+/// State of one runner by the reports of all entry daemons together.
 struct runner_health {
     int in_flight = 0;
-    bool stalled = false; ///< nobody gets bytes from it, and somebody waits or can't connect
-    bool refused = false; ///< its address refused a connection
-    duration since_byte = duration::max(); ///< since any of them had a byte from it
+    bool stalled = false; ///< no daemon receives bytes, and at least one waits or can't connect
+    bool refused = false; ///< an entry daemon's connection was reset
+    duration since_byte = duration::max(); ///< shortest time since an entry daemon received a byte
 };
 
-/// The latest health report of each entry daemon, and what follows from all of them. Soft state of
-/// the leading control daemon, begun anew with each term.
+/// The latest health report of each entry daemon and the conclusions from all of them. Soft state
+/// of the leading control daemon, cleared at the start of each term.
 class health_reports {
 public:
     void put(instant now, const daemon_id& follower, const health_report& in);
-    /// Forgets the reports and latencies of an earlier term. Whether there is traffic, and what was
-    /// turned away, stays: neither changes with the leader.
+    /// Removes the reports and latencies of an earlier term. Keeps the traffic and rejection
+    /// counts, because they do not depend on the leader.
     void clear();
 
     [[nodiscard]] runner_health health_of(instant now, const runner_id& runner) const;
-    /// True if every entry daemon that reports has tried to connect to the runner since `since`,
-    /// and none of them could. False while no entry daemon reports.
+    /// Returns true if every entry daemon with a current report has tried to connect to the runner
+    /// at or after `since` and failed. False if there is no current report.
     [[nodiscard]] bool is_unreachable_to_all(instant now, instant since,
                                              const runner_id& runner) const;
-    /// Requests in flight at each runner, as the followers other than `asker` report them.
+    /// Returns the requests in flight at each runner, by the reports of all entry daemons but
+    /// `asker`.
     [[nodiscard]] std::map<runner_id, int> loads_without(instant now, const daemon_id& asker) const;
-    /// Entry daemons that have reported lately.
+    /// Returns the number of entry daemons that share the fleet's limits: those with a recent
+    /// report.
     [[nodiscard]] std::size_t count_followers(instant now) const;
-    /// True once any entry daemon has reported a request for a model.
+    /// Returns true once an entry daemon has reported a request for a model.
     [[nodiscard]] bool has_traffic() const { return requests_seen_ > 0; }
-    /// Requests for a model that were turned away, per second, over about the latest second.
+    /// Returns the rejected requests for a model per second, averaged over about a second.
     [[nodiscard]] double rejection_rate(instant now, const model_id& model) const;
     [[nodiscard]] const latency_tracker& latencies() const { return latencies_; }
 
--- a/include/cedarpoint/fleet/load_limiter.h
+++ b/include/cedarpoint/fleet/load_limiter.h
@@ -7,19 +7,21 @@
 
 namespace cedarpoint {
 
-/// Bounds how many loads from the weight store begin within a time and run at once. Keeps the rule
-/// CEILING (docs/RULES-KEPT.md): the store's published rate holds for all runners together.
+/// Limits the rate at which loads from the weight store begin and the number that run concurrently.
+/// Keeps the rule CEILING (docs/RULES-KEPT.md): the store's published rate applies to all runners
+/// together.
 class load_limiter {
 public:
     void set_limits(double per_second, int at_once);
-    /// Lifts both bounds: loads that begin before the first request are short, and the store does
-    /// not count them.
+    /// If true, neither limit applies. Loads that begin before the first request are short, and the
+    /// store does not count them.
     void set_unmetered(bool unmetered) { unmetered_ = unmetered; }
 
-    /// True if `count` more loads may begin now, while `running` are under way.
+    /// Returns true if `count` more loads may begin now while `running` loads are in progress.
     [[nodiscard]] bool allows(instant now, std::size_t count, std::size_t running) const;
-    /// The same for one load that nothing waits for.
+    /// Returns true if a load that nothing waits for may begin now: only while no other load runs.
     [[nodiscard]] bool allows_background(instant now, std::size_t running) const;
+    /// Records that `count` loads begin.
     void begin(instant now, std::size_t count);
 
 private:
--- a/include/cedarpoint/fleet/platform_adapter.h
+++ b/include/cedarpoint/fleet/platform_adapter.h
@@ -12,30 +12,30 @@
 
 namespace cedarpoint {
 
-/// The platform's header names, by what they hold.
+/// The platform's header names by content.
 struct header_names {
-    std::string request_id;      ///< the caller's id of this try; passed on, and echoed by runners
-    std::string deadline_ms;     ///< milliseconds that are left for the answer
-    std::string priority;        ///< to runners: 0 (first) to 9
-    std::string model;           ///< that a request for an engine asks for
-    std::string account;         ///< to runners: the name of the caller's account
-    std::string expected_runner; ///< to runners: any other runner refuses the request
-    std::string signature;       ///< in a runner's answers: proves that a runner made it
-    std::string not_executed;    ///< in a runner's refusal: it has not run the request and won't
-    std::string resume_after;    ///< the id of the last event that the caller has
-    std::string rate_limit;      ///< in a runner's answers: requests a second that it takes
-    std::string leaving;         ///< in a runner's answers: it leaves and wants nothing new
+    std::string request_id;      ///< the caller's id of this try; passed on and echoed by runners
+    std::string deadline_ms;     ///< remaining time for the answer, in milliseconds
+    std::string priority;        ///< to runners: 0 (highest) to 9
+    std::string model;           ///< model that a request for an engine asks for
+    std::string account;         ///< to runners: name of the caller's account
+    std::string expected_runner; ///< to runners: a runner with another id refuses the request
+    std::string signature;       ///< in answers of runners: proves that a runner made the answer
+    std::string not_executed;    ///< in refusals of runners: the request has not run and will not
+    std::string resume_after;    ///< id of the last event that the caller received
+    std::string rate_limit;      ///< in answers of runners: requests per second that it accepts
+    std::string leaving;         ///< in answers of runners: it leaves and wants no new requests
 };
 
-/// Paths that runners serve.
+/// HTTP paths that runners serve.
 struct runner_paths {
-    std::string status; ///< what probes ask for
-    std::string order;  ///< takes group orders
+    std::string status; ///< requested by probes
+    std::string order;  ///< accepts group orders
 };
 
-/// Translates between the product's types and the names, paths and JSON shapes of the users'
-/// platform. Decides nothing. The implementation is in `platform/`, and no other folder knows a
-/// name of the platform.
+/// Translates between the product's types and the names, paths and JSON documents of the users'
+/// platform. Makes no decisions. The implementation is in `platform/`; the product's other folders
+/// contain no names of the platform.
 class platform_adapter {
 public:
     platform_adapter() = default;
@@ -47,18 +47,18 @@
     [[nodiscard]] virtual const runner_paths& paths() const = 0;
     [[nodiscard]] virtual parsed_call read_call(std::string_view method,
                                                 std::string_view path) const = 0;
-    /// Empty with `why` unless the document is valid as a whole.
+    /// Returns the configuration; empty, with the reason in `why`, if any part of it is invalid.
     [[nodiscard]] virtual std::optional<fleet_configuration>
     read_configuration(std::string_view document, reason& why) const = 0;
-    /// Empty with `why` unless the heartbeat is valid.
+    /// Returns the heartbeat; empty, with the reason in `why`, if it is invalid.
     [[nodiscard]] virtual std::optional<announcement>
     read_announcement(const runner_id& id, std::string_view body, reason& why) const = 0;
-    /// The life of the runner that says good-bye; 0 if the body does not tell.
+    /// Returns the start time of a runner process that deregisters; 0 if the body has none.
     [[nodiscard]] virtual birth read_departing_life(std::string_view body) const = 0;
     [[nodiscard]] virtual std::string write_order(const group_order& order) const = 0;
 };
 
-/// The platform that this build runs on.
+/// Returns the adapter for the platform that this build runs on.
 const platform_adapter& installed_platform();
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/retry_budget_options.h
+++ b/include/cedarpoint/fleet/retry_budget_options.h
@@ -4,13 +4,13 @@
 
 namespace cedarpoint {
 
-/// The retry budget of a fleet, from the settings: in any `window` at most `ratio` of the requests
-/// that came in it, and `slack` more, may be sent to a second runner.
+/// Settings of a fleet's retry budget. In any period of length `window` the number of requests sent
+/// to a second runner is at most `ratio` of the requests that arrived in it plus `slack`.
 struct retry_budget_options {
     double ratio = 0.1;
     milliseconds window{10'000};
-    double slack = 10; ///< retries, of the whole fleet
-    /// The part of both that is used, because daemons' shares of the traffic are uneven.
+    double slack = 10; ///< retries per window for the whole fleet
+    /// Fraction of the sum that is used, because the daemons' shares of the traffic are uneven.
     double safety = 0.6;
 };
 
--- a/include/cedarpoint/fleet/route_table.h
+++ b/include/cedarpoint/fleet/route_table.h
@@ -10,16 +10,17 @@
 
 namespace cedarpoint {
 
-/// A configuration with its lookups; made once, then only read.
+/// A configuration with lookup tables for its routes and accounts. Immutable.
 class route_table {
 public:
     explicit route_table(fleet_configuration configuration);
 
-    /// The route of `host` with the longest prefix that begins `path`; null if there is none.
+    /// Returns the route of `host` with the longest path prefix that matches `path`; null if there
+    /// is none. Host names are compared in lower case and without a port.
     [[nodiscard]] const fleet_route* find_route(std::string_view host, std::string_view path) const;
-    /// The account that holds `key`; null if none does.
+    /// Returns the account that has `key`; null if there is none.
     [[nodiscard]] const fleet_account* find_account(std::string_view key) const;
-    /// The target that `draw`, from 0 up to 1, falls on by the route's weights.
+    /// Chooses a target in proportion to the route's weights. `draw` is a random number in [0, 1).
     [[nodiscard]] static const route_target& choose_target(const fleet_route& route, double draw);
 
     [[nodiscard]] const fleet_configuration& configuration() const { return configuration_; }
@@ -27,7 +28,7 @@
 
 private:
     fleet_configuration configuration_;
-    /// Host in lower case, then prefixes from the longest to the shortest.
+    /// Routes by normalized host, those with the longest prefixes first.
     std::unordered_map<std::string, std::vector<const fleet_route*>> by_host_;
     std::unordered_map<std::string_view, const fleet_account*> by_key_;
 };
--- a/include/cedarpoint/fleet/target_ranking.h
+++ b/include/cedarpoint/fleet/target_ranking.h
@@ -6,33 +6,34 @@
 
 namespace cedarpoint {
 
-// The rules that rank targets for a request. Pure: what is known of a target goes in, a cost comes
-// out, in requests: a target with a cost of 3 is as good as one with three requests in flight and
-// nothing else against it. The lowest cost is chosen. No rule excludes a target but `is_full`.
-
-/// True if the target has as many requests from all daemons as it may: its slots and a short queue.
-/// Others' requests are known late, so they only bound the load. Ranked by them, all daemons would
-/// choose the same target at the same time.
+// Rules that rank the targets of a request. They are pure functions of what this daemon knows about
+// a target. Costs are in requests: a target of normal speed with two requests in flight and no
+// other cost has a cost of 3, the new request included. The target with the lowest cost is chosen.
+// Of these rules only `is_full` excludes a target.
+
+/// Returns true if the requests of all daemons fill the target's slots and a short queue. Requests
+/// of other daemons are reported with a delay. They limit the load, but are no part of the cost:
+/// otherwise all daemons would choose the same target at the same time.
 [[nodiscard]] bool is_full(const fleet_target& target, const target_stats& stats);
 
-/// This daemon's requests there with the one to come; each counts as many times as the target is
-/// slower than its peers.
+/// Returns the number of this daemon's requests at the target, including the new one, multiplied by
+/// the target's slowness.
 [[nodiscard]] double load_cost(const fleet_target& target, const target_stats& stats);
 
-/// What the way to another failure domain adds.
+/// Returns the cost of a target in another failure domain; 0 in the own one.
 [[nodiscard]] double distance_cost(const fleet_target& target, const failure_domain_id& own_domain);
 
-/// Puts a target behind all others while it backs off after a failure, while its streams to this
-/// daemon stall, and while the leader suspects it.
+/// Returns a high cost while the target backs off after a failure, while this daemon's requests to
+/// it stall, and while the leader suspects it; otherwise 0.
 [[nodiscard]] double avoidance_cost(instant now, const fleet_target& target,
                                     const target_stats& stats);
 
-/// The sum of the three. `draw`, from 0 up to 1, decides between targets that are about equal, so
-/// that daemons don't choose the same one.
+/// Returns the sum of the three costs and a small random part. `draw`, a random number in [0, 1),
+/// decides between targets of about the same cost, so that daemons do not all choose the same one.
 [[nodiscard]] double target_cost(instant now, const fleet_target& target, const target_stats& stats,
                                  const failure_domain_id& own_domain, double draw);
 
-/// How long a target backs off after this many failures in a row; at least one.
+/// Returns how long a target backs off after `failures` consecutive failures; at least one.
 [[nodiscard]] duration backoff_after(int failures);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/target_set.h
+++ b/include/cedarpoint/fleet/target_set.h
@@ -18,66 +18,73 @@
 
 namespace cedarpoint {
 
-/// A choice of a target.
+/// Result of choosing a target.
 struct target_choice {
+    /// If candidates are excluded for several reasons, the last one in this order applies.
     enum class outcome_t {
         chosen,
-        none_available, ///< none is known, accepting and untried
-        paused,         ///< some would do, but have asked this daemon for a pause
-        all_full,       ///< some would do, but are full
-        rate_limited    ///< some have room, but may not be sent one more request now
+        none_available, ///< no target is accepting, staying and untried
+        paused,         ///< candidates have asked this daemon for a pause
+        all_full,       ///< candidates are full
+        rate_limited    ///< candidates have room, but this daemon has no permit to send to them now
     };
     outcome_t outcome = outcome_t::none_available;
     const fleet_target* target = nullptr; ///< valid until the next update; null unless chosen
-    std::optional<instant> pause_ends;    ///< the first of the pauses that were met
+    std::optional<instant> pause_ends;    ///< earliest end of the candidates' pauses
 };
 
-/// The targets of this entry daemon's view, and what it observed of each. Chooses by the rules of
-/// `target_ranking.h`.
+/// The targets in this entry daemon's view, with the daemon's observations of each. Chooses targets
+/// by the rules of `target_ranking.h`.
 class target_set {
 public:
-    /// `seed`: of the draws that decide between equal targets.
+    /// `seed`: of the random numbers that decide between targets of about the same cost and that
+    /// spread the permits this daemon makes itself.
     target_set(failure_domain_id own_domain, std::uint64_t seed);
 
-    /// Replaces the targets; what was observed stays for those that are still there.
+    /// Replaces the targets. Keeps the observations of those that remain or have requests in
+    /// flight.
     void update(instant now, const view_content& view);
-    /// Replaces the requests in flight from other entry daemons.
+    /// Replaces the counts of requests in flight from other entry daemons.
     void update_loads(const std::map<runner_id, int>& in_flight_elsewhere);
 
-    /// The target with the lowest cost for a service and, where it has groups, a model; none of
-    /// those in `tried`, and none that has asked to be sent nothing.
+    /// Chooses the target with the lowest cost for a service and, if the service has groups, a
+    /// model. Excludes the runners in `tried`, those that have asked for a pause or said that they
+    /// leave, full ones, and rate-limited ones without a permit.
     [[nodiscard]] target_choice choose(instant now, const service_id& service,
                                        const model_id& model, const std::set<runner_id>& tried);
-    /// Null if the runner is no target any more.
+    /// Returns null if the runner is not a target in the current view.
     [[nodiscard]] const fleet_target* find(const runner_id& runner) const;
 
     void on_sent(instant now, const runner_id& runner);
     void on_byte(instant now, const runner_id& runner);
     void on_done(const runner_id& runner);
-    /// A stream's event came `wait` after the one before it, or a plain answer after its request.
+    /// Records the time between two events of a stream, or between a request and its plain answer.
     void on_wait(const runner_id& runner, duration wait);
     void on_success(const runner_id& runner);
-    /// The answer did not come, was spoiled, or was a refusal or a server's error.
+    /// Records an attempt whose answer is missing, incomplete or invalid, refuses the request, or
+    /// has a 5xx status.
     void on_failure(instant now, const runner_id& runner);
-    /// No connection was made; `refused`: it was reset.
+    /// Records a failed connection attempt; `refused`: the address answered with a reset.
     void on_unreachable(instant now, const runner_id& runner, bool refused);
 
-    /// What bounds the requests to runners that have named a rate limit.
+    /// Permits to send requests to runners that have named a rate limit.
     [[nodiscard]] send_permits& permits() { return permits_; }
-    /// The runners that have asked to be sent nothing.
+    /// Runners that have asked for a pause or said that they leave.
     [[nodiscard]] send_holds& holds() { return holds_; }
 
-    /// Targets that have said that they leave, in the lives that said so.
+    /// Returns the accepting targets that have said in an answer that they leave, each with the
+    /// start time of the runner process that said so.
     [[nodiscard]] std::map<runner_id, birth> leaving_targets() const;
 
-    /// The observations to report to the leader; waits are reported once.
+    /// Returns the observations to report to the leader. Each wait is reported only once.
     [[nodiscard]] std::map<runner_id, runner_observation> take_observations(instant now);
     [[nodiscard]] const std::map<runner_id, fleet_target>& targets() const { return targets_; }
 
 private:
     using use = std::pair<service_id, model_id>;
 
-    /// True if the runner has asked to be sent nothing; notes in `out` how long.
+    /// Returns true if the runner has asked for a pause or said that it leaves. Enters the end of a
+    /// pause into `out`.
     [[nodiscard]] bool is_held(instant now, const runner_id& runner, target_choice& out) const;
 
     failure_domain_id own_domain_;
--- a/include/cedarpoint/fleet/view_content.h
+++ b/include/cedarpoint/fleet/view_content.h
@@ -10,34 +10,35 @@
 
 namespace cedarpoint {
 
-/// A runner that requests can be sent to, as entry daemons learn of it.
+/// A runner that requests can be sent to, as described to entry daemons.
 struct view_runner {
     runner_id id;
     birth life;
     service_id service;
     endpoint address;
     failure_domain_id failure_domain;
-    int slots = 1; ///< requests that it serves at a time
+    int slots = 1; ///< requests served concurrently
     bool accepting = true;
-    bool suspected = false; ///< its streams stall for every entry daemon that has some there
-    int slowness = 0;       ///< times slower than its peers; 0: not noticeably
+    bool suspected = false; ///< stalled, according to the reports of all entry daemons
+    int slowness = 0;       ///< factor by which it is slower than its peers; 0: not clearly slower
 };
 
-/// A group, as entry daemons learn of it; its head is among the runners.
+/// A group, as described to entry daemons. Its head is also in `view_content::runners`.
 struct view_group {
     group_id name;
     epoch assignment;
     service_id service;
     model_id model;
     std::vector<runner_id> members; ///< the head first
-    bool accepting = true;          ///< false while it retires
+    bool accepting = true;          ///< false while the group retires
 };
 
-/// The runners and groups of a view, and the requests that are dangerous to runners.
+/// The runners and groups of a view, and the requests that crash runners.
 struct view_content {
-    std::map<runner_id, view_runner> runners; ///< plain ones, and heads of groups
+    std::map<runner_id, view_runner> runners; ///< plain runners and heads of groups
     std::map<group_id, view_group> groups;
-    /// Requests under which runners have ended. 0: an operator has lifted its quarantine.
+    /// Number of runners that crashed while running each request. 0: an operator has lifted the
+    /// request's quarantine.
     crash_counts crashes;
 };
 
--- a/include/cedarpoint/fleet/work_average.h
+++ b/include/cedarpoint/fleet/work_average.h
@@ -8,8 +8,8 @@
 
 namespace cedarpoint {
 
-/// The work that each model is asked for, averaged over about a second: requests in service, and
-/// those turned away per second. An exponential average, so that one burst converts no group.
+/// The demand for each model: requests in flight plus rejected requests per second, as an
+/// exponential moving average over one to two seconds, so that a short burst converts no group.
 class work_average {
 public:
     using model_key = std::pair<service_id, model_id>;
--- a/src/fleet/answer_verdict.cpp
+++ b/src/fleet/answer_verdict.cpp
@@ -20,7 +20,7 @@
     return {attempt_outcome::succeeded, target_effect::success, ""};
 }
 
-/// What an answer without a result says of its runner.
+/// How an unsuccessful answer counts for its runner. A request for a pause is not a failure.
 target_effect effect_of_failure(const answer_facts& in)
 {
     return in.asks_for_pause ? target_effect::none : target_effect::failure;
--- a/src/fleet/fleet_messages.cpp
+++ b/src/fleet/fleet_messages.cpp
@@ -10,7 +10,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The longest time told in milliseconds: more makes no difference to any rule.
+/// Longest time in a message, in milliseconds. No rule distinguishes longer times.
 constexpr std::int64_t longest_ms = 1'000'000;
 
 std::uint32_t to_wire_ms(milliseconds in)
@@ -256,7 +256,7 @@
 {
     std::vector<suspect> out;
     for (const auto& each : in.suspects()) {
-        // One without a valid address can't be tried; the registry holds none.
+        // A runner without a valid address cannot be tried. The registry contains none.
         if (const auto address = endpoint::parse(each.address())) {
             out.push_back({runner_id{each.runner()}, *address});
         }
--- a/src/fleet/fleet_view.cpp
+++ b/src/fleet/fleet_view.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-constexpr std::size_t most_removed = 2'000; ///< records kept only to tell that they are gone
+/// Maximum number of tombstones, the records kept only so that deltas can report their removal.
+constexpr std::size_t most_removed = 2'000;
 
 } // namespace
 
--- a/src/fleet/health_reports.cpp
+++ b/src/fleet/health_reports.cpp
@@ -5,19 +5,20 @@
 namespace cedarpoint {
 namespace {
 
-/// A report is used for this long: at one every 200 ms, three may be lost.
+/// A report is valid for this long. Reports are sent every 200 ms, so three may be lost.
 constexpr duration report_lifetime = milliseconds{900};
 
-/// A follower counts as one that shares the fleet's limits for this long after its latest report.
-/// The leader stops sending to it after the same time (`follower_tracker`).
+/// An entry daemon counts among those that share the fleet's limits for this long after its latest
+/// report. After the same time the leader stops sending updates to it (`follower_tracker`).
 constexpr duration follower_lifetime = milliseconds{2500};
 
-/// Without a byte for this long, while requests are in flight, a runner stalls: the longest gap
-/// between events that the users' routes aim at. Moving streams sooner loses requests.
+/// A runner with requests in flight counts as stalled after this time without a byte. This is the
+/// longest gap between events that the users' routes aim at. A shorter threshold moves streams
+/// sooner, which loses requests.
 constexpr milliseconds stall_threshold{300};
 
-/// Connections in a row that must fail before an entry daemon reports a stall without waiting
-/// requests; one may be a lost packet.
+/// Consecutive failed connection attempts after which an entry daemon without waiting requests
+/// counts as seeing a stall. A single failure may be a lost packet.
 constexpr std::uint32_t failed_connects_to_stall = 2;
 
 bool has_recent_byte(const runner_observation& in)
--- a/src/fleet/latency_tracker.cpp
+++ b/src/fleet/latency_tracker.cpp
@@ -6,19 +6,20 @@
 namespace cedarpoint {
 namespace {
 
-/// Weight of a single wait in the moving mean: about the latest 25 waits count.
+/// Weight of a single wait in the moving mean, which covers about the latest 25 waits.
 constexpr double weight_of_one_wait = 0.04;
 
-/// A mean of fewer waits than this says too little.
+/// Minimum number of waits for a usable mean.
 constexpr std::uint32_t fewest_waits = 12;
 
-/// A mean is dropped after this, so that a slow runner that nobody uses any more is tried again.
+/// A mean expires after this time without waits, so that a slow runner that receives no requests
+/// any more is tried again.
 constexpr duration mean_lifetime = seconds{4};
 
-/// A runner is slow from this ratio to the median of its peers.
+/// Minimum ratio to the median of the peers at which a runner counts as slow.
 constexpr double slow_ratio = 1.8;
 
-/// The slowness told is at most two to this power.
+/// Exponent of the highest slowness reported, as a power of two.
 constexpr double most_doublings = 6;
 
 double median(std::vector<double> values)
--- a/src/fleet/load_limiter.cpp
+++ b/src/fleet/load_limiter.cpp
@@ -6,11 +6,12 @@
 namespace cedarpoint {
 namespace {
 
-/// The store's rate is bounded over this long. The platform counts over 5 s.
+/// Window over which the platform measures the rate of loads.
 constexpr double window_seconds = 5;
-/// Loads count a second longer than the window: an order may be carried out that much later.
+/// Loads are counted for a second longer than the window, because a runner may begin a load that
+/// much later than it was ordered.
 constexpr duration counted_for = seconds{6};
-/// The part of the rate that is used; the rest covers orders that are carried out later still.
+/// Fraction of the rate that is used. The rest allows for loads that begin even later.
 constexpr double used_part = 0.8;
 
 } // namespace
@@ -23,7 +24,7 @@
 
 bool load_limiter::has_room(std::size_t count, std::size_t running) const
 {
-    // A group that needs more than all places has to begin some time: then it begins alone.
+    // A group that needs more loads than may run concurrently begins while no other load runs.
     return unmetered_ || running == 0 || running + count <= at_once_;
 }
 
--- a/src/fleet/request_admission.cpp
+++ b/src/fleet/request_admission.cpp
@@ -5,12 +5,12 @@
 namespace cedarpoint {
 namespace {
 
-/// The platform's range is 0 to 9.
+/// The platform's priorities range from 0 to 9.
 constexpr int lowest_engine_priority = 9;
-/// Ranks of routes within one rank of an account.
+/// Number of route priorities within each account priority.
 constexpr int route_ranks = 2;
 
-/// The account of a bearer key; null if there is no key or nobody has it.
+/// Returns the account of a bearer key; null if there is no key or no account has it.
 const fleet_account* find_account(const route_table& routes, std::string_view authorization)
 {
     constexpr std::string_view scheme = "Bearer ";
--- a/src/fleet/retry_policy.cpp
+++ b/src/fleet/retry_policy.cpp
@@ -14,12 +14,13 @@
     if (facts.has_begun) {
         return final_answer::break_off;
     }
-    // A runner's 503 after it ran the request would be a false promise from us.
+    // From these statuses the caller would conclude that the request has not run and repeat it, but
+    // a runner may have run it.
     const bool is_false_promise = promises_not_run(facts.failure_status) && !facts.is_repeatable;
     if (facts.has_failure && !is_false_promise) {
         return final_answer::pass_failure;
     }
-    // Where it does no harm that the request runs twice, "not run" invites the caller to try again.
+    // If the request may run more than once, "not run" tells the caller that it can send it again.
     if (!facts.may_have_run || facts.is_repeatable) {
         return final_answer::not_run;
     }
--- a/src/fleet/route_table.cpp
+++ b/src/fleet/route_table.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// A host name as it compares: lower case, without a port.
+/// Returns the host name in lower case and without a port.
 std::string normal_host(std::string_view host)
 {
     std::string out{
--- a/src/fleet/target_ranking.cpp
+++ b/src/fleet/target_ranking.cpp
@@ -5,20 +5,22 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests that may wait at a target beyond its slots: a slot frees soon.
+/// Requests that may queue at a target beyond its slots: a slot usually becomes free soon.
 constexpr int queue_allowance = 3;
 
-/// Cost of the way to another failure domain, in requests.
+/// Cost of a target in another failure domain, in requests.
 constexpr double other_domain_cost = 0.5;
 
-/// Above any load, so that an avoided target is chosen only if there is no other.
+/// Cost of an avoided target, in requests. Far above usual load costs, so that an avoided target is
+/// normally chosen only if there is no other. A load cost can still exceed it: 16 requests at a
+/// slowness of 64 cost 1024.
 constexpr double avoided_cost = 1000;
 
-/// The widest difference that the draw may overrule, in requests.
+/// Upper bound of the random part of the cost, in requests.
 constexpr double draw_width = 0.5;
 
-/// Without a byte for this long, while requests wait there, a target is avoided. Sooner than the
-/// leader's threshold (300 ms): it costs only the choice of another target.
+/// A target with requests in flight is avoided after more than this time without a byte. Shorter
+/// than the leader's threshold (300 ms), because the only effect is the choice of another target.
 constexpr duration stall_threshold = milliseconds{250};
 
 /// Backoff after the first failure; it doubles with each further one, up to 4.8 s.
--- a/src/fleet/windowed_retry_budget.cpp
+++ b/src/fleet/windowed_retry_budget.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests are counted in buckets of this width, so that memory does not grow with traffic.
+/// Width of the buckets in which requests are counted. Buckets keep memory use independent of the
+/// traffic.
 constexpr duration bucket_width = milliseconds{250};
 
 void drop_before(std::deque<std::pair<instant, int>>& buckets, instant oldest)
@@ -34,8 +35,9 @@
 
 void windowed_retry_budget::forget_old(instant now)
 {
-    // A bucket's requests came at any time within it: retries count a bucket longer than the
-    // window, first attempts a bucket less, so that the bound holds for every window.
+    // The time of a request within its bucket is not known. Retries are counted for one bucket
+    // longer than the window and first attempts for one bucket less, so that the bound holds for
+    // every window.
     drop_before(first_attempts_, now - options_.window + bucket_width);
     drop_before(retries_, now - options_.window - bucket_width);
 }
--- a/src/fleet/work_average.cpp
+++ b/src/fleet/work_average.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Time constant of the average.
+/// Time constant of the exponential average, in seconds.
 constexpr double average_seconds = 1.5;
 
 } // namespace
