--- a/tests/fleet/answer_verdict_test.cpp
+++ b/tests/fleet/answer_verdict_test.cpp
@@ -1,4 +1,4 @@
-// What a runner's answer shows.
+// Classification of runners' answers.
 
 #include "cedarpoint/fleet/answer_verdict.h"
 
@@ -7,7 +7,7 @@
 namespace cedarpoint {
 namespace {
 
-TEST(an_answer, that_is_whole_and_authentic_succeeds)
+TEST(an_answer, that_is_complete_and_authentic_succeeds)
 {
     const auto verdict = judge_answer({.status = 200, .is_authentic = true});
     EXPECT_EQ(verdict.outcome, attempt_outcome::succeeded);
@@ -16,14 +16,14 @@
               attempt_outcome::succeeded);
 }
 
-TEST(an_answer, that_is_not_authentic_may_hide_a_run)
+TEST(an_answer, that_is_not_authentic_counts_as_may_have_run)
 {
     const auto verdict = judge_answer({.status = 200});
     EXPECT_EQ(verdict.outcome, attempt_outcome::may_have_run);
     EXPECT_EQ(verdict.effect, target_effect::failure);
 }
 
-TEST(an_answer, that_is_no_stream_does_not_go_on_with_one)
+TEST(an_answer, that_is_no_stream_cannot_continue_one)
 {
     const auto verdict =
         judge_answer({.status = 200, .is_authentic = true, .caller_has_events = true});
@@ -31,7 +31,7 @@
     EXPECT_EQ(verdict.effect, target_effect::failure);
 }
 
-TEST(an_answer, proves_that_nothing_ran_only_if_its_runner_says_so)
+TEST(an_answer, counts_as_not_run_only_if_its_runner_says_so)
 {
     for (const int status : {200, 400, 429, 503}) {
         EXPECT_EQ(judge_answer({.status = status, .disclaims = true}).outcome,
@@ -39,7 +39,7 @@
             << status;
     }
     EXPECT_EQ(judge_answer({.status = 421}).outcome, attempt_outcome::not_run)
-        << "another runner than the expected one";
+        << "a runner other than the expected one answered";
     EXPECT_EQ(judge_answer({.status = 503}).outcome, attempt_outcome::server_error);
 }
 
--- a/tests/fleet/health_reports_test.cpp
+++ b/tests/fleet/health_reports_test.cpp
@@ -1,4 +1,4 @@
-// What the leader concludes from the reports of entry daemons.
+// Conclusions of the leader from the reports of entry daemons.
 
 #include "cedarpoint/fleet/health_reports.h"
 
@@ -29,11 +29,12 @@
     EXPECT_FALSE(reports.health_of(start, head).stalled);
     EXPECT_EQ(reports.health_of(start, head).in_flight, 3);
     reports.put(start, daemon_id{"e2"}, report_on("i-1", 1, 20, 900));
-    EXPECT_TRUE(reports.health_of(start, head).stalled) << "a request just sent is no sign of life";
-    EXPECT_FALSE(reports.health_of(start + seconds{2}, head).stalled) << "the reports are old";
+    EXPECT_TRUE(reports.health_of(start, head).stalled)
+        << "sending a request is not progress of the runner";
+    EXPECT_FALSE(reports.health_of(start + seconds{2}, head).stalled) << "the reports have expired";
 }
 
-TEST(a_runner, is_unreachable_to_all_only_by_tries_that_are_young_enough)
+TEST(a_runner, is_unreachable_from_all_only_by_recent_attempts)
 {
     health_reports reports;
     const runner_id head{"i-1"};
@@ -44,7 +45,7 @@
     EXPECT_FALSE(reports.is_unreachable_to_all(start, start - milliseconds{200}, head));
     reports.put(start, daemon_id{"e2"}, {});
     EXPECT_FALSE(reports.is_unreachable_to_all(start, start - milliseconds{400}, head))
-        << "one of them has not tried";
+        << "one entry daemon has not tried to connect";
 }
 
 TEST(a_runner, stalls_from_the_threshold_on)
@@ -57,10 +58,10 @@
     };
     EXPECT_FALSE(is_stalled(report_on("i-1", 1, 299, 299)));
     EXPECT_TRUE(is_stalled(report_on("i-1", 1, 300, 300)));
-    EXPECT_FALSE(is_stalled(report_on("i-1", 0, 300, 300))) << "nobody waits";
+    EXPECT_FALSE(is_stalled(report_on("i-1", 0, 300, 300))) << "no request is waiting";
     auto failed = report_on("i-1", 0, 0, 300);
     failed.runners[head].failed_connects = 1;
-    EXPECT_FALSE(is_stalled(failed)) << "one may be lost";
+    EXPECT_FALSE(is_stalled(failed)) << "a single failure may be a lost packet";
     failed.runners[head].failed_connects = 2;
     EXPECT_TRUE(is_stalled(failed));
 }
@@ -76,7 +77,7 @@
     EXPECT_EQ(reports.count_followers(start + milliseconds{2501}), 0U);
 }
 
-TEST(rejections, fade_within_seconds)
+TEST(rejections, decay_within_seconds)
 {
     health_reports reports;
     EXPECT_FALSE(reports.has_traffic());
@@ -88,7 +89,7 @@
     EXPECT_NEAR(reports.rejection_rate(start + seconds{1}, model_id{"m"}), 3.68, 0.01);
     EXPECT_EQ(reports.rejection_rate(start, model_id{"other"}), 0);
     reports.clear();
-    EXPECT_TRUE(reports.has_traffic()) << "a new leader does not undo that";
+    EXPECT_TRUE(reports.has_traffic()) << "traffic seen in an earlier term still counts";
 }
 
 TEST(loads, are_those_of_the_other_followers)
--- a/tests/fleet/latency_tracker_test.cpp
+++ b/tests/fleet/latency_tracker_test.cpp
@@ -17,18 +17,20 @@
     record("i-1", 50, milliseconds{50});
     record("i-2", 50, milliseconds{60});
     record("i-3", 3, milliseconds{500});
-    EXPECT_TRUE(latencies.slow_among(start, peers).empty()) << "three pauses say too little";
+    EXPECT_TRUE(latencies.slow_among(start, peers).empty()) << "three waits are too few for a mean";
     record("i-3", 50, milliseconds{220});
     const auto slow = latencies.slow_among(start, peers);
     ASSERT_EQ(slow.size(), 1U);
     EXPECT_EQ(slow.at(runner_id{"i-3"}), 4U);
-    EXPECT_TRUE(latencies.slow_among(start + seconds{5}, peers).empty()) << "it is tried again";
+    EXPECT_TRUE(latencies.slow_among(start + seconds{5}, peers).empty())
+        << "the means have expired";
     record("i-1", 200, milliseconds{220});
     record("i-2", 200, milliseconds{220});
-    EXPECT_TRUE(latencies.slow_among(start, peers).empty()) << "load slows all of them";
+    EXPECT_TRUE(latencies.slow_among(start, peers).empty())
+        << "all runners are equally slow under load";
 }
 
-TEST(a_runner, is_slow_from_a_ratio_on_and_that_in_powers_of_two)
+TEST(a_runner, is_slow_from_a_minimum_ratio_on_in_powers_of_two)
 {
     const std::vector<runner_id> peers{runner_id{"i-1"}, runner_id{"i-2"}};
     const auto slowness_at = [&](int wait_ms) {
@@ -41,8 +43,8 @@
     EXPECT_EQ(slowness_at(179), 0U);
     EXPECT_EQ(slowness_at(180), 2U);
     EXPECT_EQ(slowness_at(282), 2U);
-    EXPECT_EQ(slowness_at(284), 4U) << "nearer to four times than to twice";
-    EXPECT_EQ(slowness_at(100'000), 64U) << "no more than that is told";
+    EXPECT_EQ(slowness_at(284), 4U) << "closer to a factor of 4 than to 2";
+    EXPECT_EQ(slowness_at(100'000), 64U) << "highest slowness reported";
 }
 
 TEST(a_runner, without_peers_is_never_slow)
--- a/tests/fleet/load_limiter_test.cpp
+++ b/tests/fleet/load_limiter_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr instant start{seconds{100}};
 
-TEST(loads, keep_to_the_stores_rate_but_for_the_time_before_requests_come)
+TEST(loads, keep_to_the_stores_rate_except_before_the_first_request)
 {
     load_limiter limiter;
     limiter.set_limits(4.5, 6);
@@ -18,22 +18,24 @@
         limiter.begin(start, 1);
         ++begun;
     }
-    EXPECT_LE(begun, 22) << "4.5 a second over 5 s";
+    EXPECT_LE(begun, 22) << "4.5 per second over 5 s";
     EXPECT_TRUE(limiter.allows(start + seconds{7}, 1, 0));
     limiter.set_unmetered(true);
     EXPECT_TRUE(limiter.allows(start, 4, 12));
 }
 
-TEST(loads, have_room_for_as_many_as_run_at_full_speed)
+TEST(loads, are_limited_to_the_number_that_runs_at_full_speed)
 {
     load_limiter limiter;
     limiter.set_limits(100, 6);
     EXPECT_TRUE(limiter.allows(start, 1, 5));
     EXPECT_FALSE(limiter.allows(start, 1, 6));
-    EXPECT_TRUE(limiter.allows(start, 9, 0)) << "a large group begins alone";
-    EXPECT_TRUE(limiter.allows(start, 0, 100)) << "no load needs no room";
+    EXPECT_TRUE(limiter.allows(start, 9, 0))
+        << "a group larger than the limit begins while no other load runs";
+    EXPECT_TRUE(limiter.allows(start, 0, 100)) << "zero loads are always allowed";
     limiter.set_unmetered(true);
-    EXPECT_TRUE(limiter.allows(start, 1, 100)) << "before the first request the store counts none";
+    EXPECT_TRUE(limiter.allows(start, 1, 100))
+        << "the store counts no loads before the first request";
 }
 
 TEST(loads, that_nothing_waits_for_begin_only_while_no_other_runs)
@@ -43,7 +45,7 @@
     EXPECT_TRUE(limiter.allows_background(start, 0));
     EXPECT_FALSE(limiter.allows_background(start, 1));
     limiter.begin(start, 4);
-    EXPECT_FALSE(limiter.allows_background(start, 0)) << "the rate is used up";
+    EXPECT_FALSE(limiter.allows_background(start, 0)) << "the rate is exhausted";
     limiter.set_unmetered(true);
     EXPECT_TRUE(limiter.allows_background(start, 100));
 }
@@ -53,7 +55,8 @@
     load_limiter limiter;
     limiter.set_limits(1, 100);
     limiter.begin(start, 4);
-    EXPECT_FALSE(limiter.allows(start + milliseconds{5999}, 1, 0)) << "4 of 4, of 5 allowed";
+    EXPECT_FALSE(limiter.allows(start + milliseconds{5999}, 1, 0))
+        << "4 of 4 are used; the rate allows 5 per window, of which 80% are used";
     EXPECT_TRUE(limiter.allows(start + seconds{6}, 4, 0));
     EXPECT_FALSE(limiter.allows(start + seconds{6}, 5, 0));
 }
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -16,14 +16,15 @@
 
 namespace cedarpoint::testing_support {
 
-/// Between two heartbeats of each runner of the tests.
+/// Interval between heartbeats of the tests' runners.
 inline constexpr milliseconds runner_heartbeat{150};
 
-/// A runner that speaks the platform's words: announces itself, takes orders, answers requests
-/// with three events or a plain text.
+/// A runner that speaks the platform's protocol: sends heartbeats, accepts orders and answers
+/// requests with three events or a plain text.
 class platform_runner {
 public:
-    /// `born`: of its life, 0 if it does not tell; `sequence`: of the heartbeat before its first.
+    /// `born`: start time in its heartbeats, 0 if they have none. `sequence`: sequence number
+    /// before its first heartbeat.
     platform_runner(std::string id, std::string service, std::vector<endpoint> controls,
                     std::uint64_t born = 0, std::uint64_t sequence = 0);
     platform_runner(const platform_runner&) = delete;
@@ -35,46 +36,47 @@
     [[nodiscard]] const std::string& id() const { return id_; }
     void drain();
     [[nodiscard]] bool drain_acknowledged() const { return drain_acknowledged_; }
-    int fail_next = 0;                 ///< plain requests that are answered with 500
-    bool cut_stream = false;           ///< the next stream breaks off after its first event
-    std::vector<std::string> accounts; ///< that requests were passed on for
-    std::string rate_limit;            ///< named in each answer unless it is empty
-    bool leaving = false;              ///< each answer says that it leaves
-    /// Asked for each request, by its id. Empty: it is served; otherwise it is turned away with
-    /// this Retry-After, without one if it is empty.
+    int fail_next = 0;                 ///< number of plain requests to answer with 500
+    bool cut_stream = false;           ///< the next stream is aborted after its first event
+    std::vector<std::string> accounts; ///< accounts of the requests received
+    std::string rate_limit;            ///< in each answer, unless it is empty
+    bool leaving = false;              ///< each answer states that the runner leaves
+    /// Called with each request's id. If it returns nothing, the request is served; otherwise it is
+    /// refused with this Retry-After, or without one if the string is empty.
     std::function<std::optional<std::string>(const std::string&)> turn_away;
-    bool disclaims = true; ///< what it turns away: it says that it has not run it
-    /// Ends its heartbeats, or begins them anew; it serves on.
+    bool disclaims = true; ///< refusals state that the request was not run
+    /// Stops or restarts heartbeats. Requests are served all the time.
     void be_silent(bool silent);
-    milliseconds answer_time{0};  ///< of a plain request
-    int slots = 4;                ///< as its heartbeats tell
-    std::string ended_by;         ///< a request whose body holds this ends the runner
-    milliseconds time_to_end{40}; ///< such a request runs before the runner ends
-    milliseconds time_away{2500}; ///< until it is back as a new life under its id
-    std::vector<instant> ends;    ///< of its lives
-    /// Its supervisor keeps the listening socket: what connects while it is away is cut.
+    milliseconds answer_time{0};  ///< time to answer a plain request
+    int slots = 4;                ///< reported in its heartbeats
+    std::string ended_by;         ///< a request with this text in its body crashes the runner
+    milliseconds time_to_end{40}; ///< from the start of such a request to the crash
+    milliseconds time_away{2500}; ///< from a crash to the restart under the same id
+    std::vector<instant> ends;    ///< times of its crashes
+    /// True if a supervisor keeps the listening socket open: connections that send a request while
+    /// the runner is down are aborted.
     bool port_is_kept = false;
-    /// Ends at once, as a process that crashes, and comes back after `time_away`.
+    /// Stops at once, like a crashed process, and restarts after `time_away`.
     void crash();
     struct arrival {
         instant at;
         std::string request;
         std::string body;
-        bool told = false; ///< the answer names a rate limit
+        bool told = false; ///< the answer contains a rate limit
     };
-    std::vector<arrival> arrivals; ///< requests that were run
+    std::vector<arrival> arrivals; ///< requests that ran
 
 private:
     void on_request(const http_request& request, const std::shared_ptr<http_reply>& reply);
     void take_order(const http_request& request, const std::shared_ptr<http_reply>& reply);
     void stream(const http_request& request, const std::shared_ptr<http_reply>& reply);
-    /// The head of an answer to the request, with what the runner says of itself.
+    /// Returns the head of an answer to the request, with the runner's rate limit and state.
     [[nodiscard]] http_head make_head(const http_request& request) const;
     [[nodiscard]] bool is_turned_away(const http_request& request,
                                       const std::shared_ptr<http_reply>& reply);
     void announce();
     void begin_life();
-    /// The address takes connections, and ends each one that brings a request.
+    /// Accepts connections at the address and aborts each one that sends a request.
     void keep_port();
     [[nodiscard]] std::string announcement_text();
 
@@ -82,9 +84,9 @@
     std::string service_;
     std::vector<endpoint> controls_;
     std::size_t control_ = 0;
-    std::unique_ptr<http_listener> listener_; ///< null while the runner is away
+    std::unique_ptr<http_listener> listener_; ///< null while down, unless `port_is_kept`
     bool is_away_ = false;
-    endpoint address_{"127.0.0.1", 0}; ///< the same in each life
+    endpoint address_{"127.0.0.1", 0}; ///< kept across restarts
     runner_pool pool_;
     QTimer timer_;
     bool announcing_ = false;
--- a/tests/fleet/request_admission_test.cpp
+++ b/tests/fleet/request_admission_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are admitted, and where they go.
+// Admission of requests and their routing.
 
 #include "cedarpoint/fleet/request_admission.h"
 
@@ -61,7 +61,7 @@
     const admission_request stranger{
         .host = "h", .target = "/ask/x", .authorization = "Bearer nobody"};
     EXPECT_EQ(ask(stranger).refusal, admission_refusal::unknown_key);
-    EXPECT_NE(ask(stranger).route, nullptr) << "the log names the route all the same";
+    EXPECT_NE(ask(stranger).route, nullptr) << "the log contains the route of a refused request";
     EXPECT_EQ(ask({.host = "h", .target = "/ask/x"}).refusal, admission_refusal::unknown_key);
     EXPECT_EQ(ask({.host = "h", .target = "/ask/x", .authorization = "k1"}).refusal,
               admission_refusal::unknown_key);
@@ -80,7 +80,7 @@
     EXPECT_TRUE(ask({.host = "h", .target = "/open/x", .model = "small"}).model.empty());
 }
 
-TEST_F(a_request, has_its_routes_time_or_the_callers_if_that_is_shorter)
+TEST_F(a_request, has_the_shorter_of_its_routes_and_its_callers_time_limit)
 {
     admission_request in{.host = "h", .target = "/open/x"};
     EXPECT_EQ(ask(in).deadline, start + milliseconds{5000});
@@ -100,7 +100,7 @@
     account.priority = 3;
     EXPECT_EQ(engine_priority(route, &account), 7);
     account.priority = 5;
-    EXPECT_EQ(engine_priority(route, &account), 9) << "the lowest that engines know";
+    EXPECT_EQ(engine_priority(route, &account), 9) << "the lowest priority of engines";
 }
 
 } // namespace
--- a/tests/fleet/retry_policy_test.cpp
+++ b/tests/fleet/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// What may be done after an attempt, case by case.
+// Rules for retries and final answers, case by case.
 
 #include "cedarpoint/fleet/retry_policy.h"
 
@@ -21,13 +21,13 @@
     EXPECT_FALSE(may_send_again(facts, outcome::succeeded));
     EXPECT_FALSE(is_repeatable(facts));
     facts.repeat = repeat_policy::stream;
-    EXPECT_FALSE(may_send_again(facts, outcome::may_have_run)) << "it can't be resumed";
+    EXPECT_FALSE(may_send_again(facts, outcome::may_have_run)) << "the stream can't be resumed";
     EXPECT_FALSE(is_repeatable(facts));
     facts.resumable = true;
     EXPECT_TRUE(may_send_again(facts, outcome::may_have_run));
     EXPECT_TRUE(is_repeatable(facts));
     facts.sent = 2;
-    EXPECT_FALSE(may_send_again(facts, outcome::not_run)) << "its attempts are spent";
+    EXPECT_FALSE(may_send_again(facts, outcome::not_run)) << "the route's attempts are used up";
 }
 
 TEST(a_request_that_may_run_again, is_sent_again_unless_it_is_wrong_or_served)
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(a_request_that_is_given_up, gets_no_failure_that_would_be_a_false_promise)
+TEST(a_request_that_is_given_up, gets_no_failure_that_wrongly_implies_that_it_has_not_run)
 {
     for (const int status : {408, 429, 503}) {
         give_up_facts facts{.has_failure = true, .failure_status = status, .may_have_run = true};
--- a/tests/fleet/route_table_test.cpp
+++ b/tests/fleet/route_table_test.cpp
@@ -34,7 +34,7 @@
     EXPECT_EQ(routes.find_route("c.example", "/x/"), nullptr);
 }
 
-TEST(a_key, names_its_account_whichever_of_its_keys_it_is)
+TEST(a_key, finds_its_account_by_each_of_the_accounts_keys)
 {
     const auto routes = table();
     ASSERT_NE(routes.find_account("k2"), nullptr);
--- a/tests/fleet/stall_rule_test.cpp
+++ b/tests/fleet/stall_rule_test.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-TEST(a_stream, is_waited_for_twice_its_routes_aim_and_not_less_than_a_bound)
+TEST(a_stream, has_a_limit_of_twice_its_routes_target_and_no_less_than_a_minimum)
 {
     EXPECT_EQ(first_event_limit(milliseconds{0}), milliseconds{700});
     EXPECT_EQ(first_event_limit(milliseconds{350}), milliseconds{700});
--- a/tests/fleet/target_set_test.cpp
+++ b/tests/fleet/target_set_test.cpp
@@ -1,4 +1,4 @@
-// Which target a request goes to.
+// Choice of a target for a request.
 
 #include "cedarpoint/fleet/fleet_messages.h"
 #include "cedarpoint/fleet/target_ranking.h"
@@ -45,7 +45,7 @@
     const auto full = targets.choose(start, pool, model_id{"m"}, {runner_id{"i-1"}});
     EXPECT_EQ(full.target, nullptr);
     EXPECT_EQ(full.outcome, target_choice::outcome_t::all_full)
-        << "two slots and a short queue are taken by others";
+        << "requests from other daemons fill two slots and a short queue";
     const auto none = targets.choose(start, pool, model_id{"other"}, {});
     EXPECT_EQ(none.target, nullptr);
     EXPECT_EQ(none.outcome, target_choice::outcome_t::none_available);
@@ -81,11 +81,11 @@
         targets.on_sent(start, runner_id{"i-2"});
     }
     targets.on_sent(start, runner_id{"i-2"});
-    EXPECT_EQ(choose(), "i-1") << "four times slower, but the other has four already";
+    EXPECT_EQ(choose(), "i-1") << "four times slower, but the other target has four requests";
     update({runner("i-1", true, 0), runner("i-2", false, 0)});
     EXPECT_EQ(choose(), "i-2");
     update({runner("i-1", true, 0)});
-    EXPECT_EQ(choose(), "i-1") << "better than none";
+    EXPECT_EQ(choose(), "i-1") << "a suspected target is chosen if there is no other";
 }
 
 TEST(a_target, that_failed_is_avoided_for_a_while)
@@ -99,7 +99,8 @@
     }
 }
 
-// Guards against pauses that only put a target behind the others.
+// Guards against treating a pause as a mere preference for other targets: a paused target must not
+// be chosen at all.
 TEST(a_target, that_has_asked_for_a_pause_is_not_chosen_even_if_there_is_no_other)
 {
     target_set targets{failure_domain_id{"zone"}, 1};
@@ -113,23 +114,24 @@
     const auto none = choose(start + seconds{1});
     EXPECT_EQ(none.target, nullptr);
     EXPECT_EQ(none.outcome, target_choice::outcome_t::paused);
-    EXPECT_EQ(none.pause_ends, start + seconds{2}) << "the first that ends";
+    EXPECT_EQ(none.pause_ends, start + seconds{2}) << "the earliest end";
 
-    // Out of the view and back: the pause stands.
+    // The pause remains while the target is absent from the view and returns.
     targets.update(start + seconds{1}, {});
     targets.update(start + seconds{1}, decode(two_groups()));
     EXPECT_EQ(choose(start + milliseconds{1999}).target, nullptr);
     EXPECT_EQ(choose(start + seconds{2}).target->runner.str(), "i-2");
     EXPECT_EQ(choose(start + seconds{3}).outcome, target_choice::outcome_t::chosen);
 
-    // One that leaves is no target at all.
+    // Leaving targets are excluded and not reported as paused.
     targets.holds().on_leaving(start + seconds{3}, runner_id{"i-1"}, {});
     targets.holds().on_leaving(start + seconds{3}, runner_id{"i-2"}, {});
     EXPECT_EQ(choose(start + seconds{9}).outcome, target_choice::outcome_t::none_available);
 }
 
-// Guards against a paused runner's part of its rate being kept from daemons that may send there.
-TEST(a_target, that_has_asked_for_a_pause_wants_no_permits)
+// Guards against permits for a paused runner: they would take part of its rate from daemons that
+// may send to it.
+TEST(a_target, that_has_asked_for_a_pause_requests_no_permits)
 {
     target_set targets{failure_domain_id{"zone"}, 1};
     targets.update(start, decode(two_groups()));
@@ -146,7 +148,7 @@
     target_set targets{failure_domain_id{"zone"}, 1};
     targets.update(start, decode(two_groups()));
     const runner_id head{"i-1"};
-    EXPECT_TRUE(targets.take_observations(start).empty()) << "nothing was seen yet";
+    EXPECT_TRUE(targets.take_observations(start).empty()) << "nothing has been observed yet";
     targets.on_sent(start, head);
     targets.on_byte(start + milliseconds{10}, head);
     targets.on_wait(head, milliseconds{40});
@@ -178,23 +180,23 @@
     target_stats stats;
 };
 
-TEST_F(a_ranked_target, costs_its_load_by_its_slowness)
+TEST_F(a_ranked_target, costs_its_load_times_its_slowness)
 {
-    EXPECT_DOUBLE_EQ(cost(), 1) << "the request to come";
+    EXPECT_DOUBLE_EQ(cost(), 1) << "only the new request";
     stats.waiting_since = start;
     stats.in_flight = 2;
     EXPECT_DOUBLE_EQ(cost(), 3);
     target.slowness = 4;
     EXPECT_DOUBLE_EQ(cost(), 12);
     stats.in_flight_elsewhere = 3;
-    EXPECT_DOUBLE_EQ(cost(), 12) << "others' requests don't rank it";
+    EXPECT_DOUBLE_EQ(cost(), 12) << "requests from other daemons don't affect the cost";
 }
 
 TEST_F(a_ranked_target, costs_half_a_request_more_in_another_failure_domain)
 {
     target.failure_domain = failure_domain_id{"there"};
     EXPECT_DOUBLE_EQ(cost(), 1.5);
-    EXPECT_LT(cost(0.999), 2) << "the draw decides only between about equal ones";
+    EXPECT_LT(cost(0.999), 2) << "the draw decides only between targets of about equal cost";
 }
 
 TEST_F(a_ranked_target, is_full_with_its_slots_and_three_more)
@@ -214,7 +216,7 @@
     stats.waiting_since = start - milliseconds{251};
     EXPECT_GT(avoidance_cost(start, target, stats), 100);
     stats.in_flight = 0;
-    EXPECT_EQ(avoidance_cost(start, target, stats), 0) << "nobody waits";
+    EXPECT_EQ(avoidance_cost(start, target, stats), 0) << "no request is waiting";
 }
 
 TEST_F(a_ranked_target, is_avoided_while_it_backs_off)
@@ -253,7 +255,7 @@
     EXPECT_EQ(targets.choose(start, pool, model, {runner_id{"i-2"}}).target->runner, limited);
     targets.on_sent(start, limited);
     EXPECT_EQ(targets.choose(start, pool, model, {runner_id{"i-2"}}).target, nullptr)
-        << "the permit is spent";
+        << "the permit is used up";
 }
 
 } // namespace
--- a/tests/fleet/work_average_test.cpp
+++ b/tests/fleet/work_average_test.cpp
@@ -13,7 +13,7 @@
     instant now{seconds{100}};
     EXPECT_TRUE(average.all().empty());
     average.record(now, model, 10);
-    EXPECT_DOUBLE_EQ(average.all().at(model), 10) << "the first value is all that is known";
+    EXPECT_DOUBLE_EQ(average.all().at(model), 10) << "the average starts at the first value";
 
     now += milliseconds{100};
     average.record(now, model, 100);
