--- a/include/cedarpoint/fleet/answer_verdict.h
+++ b/include/cedarpoint/fleet/answer_verdict.h
@@ -29,8 +29,8 @@
 /// other than the expected one has the address.
 [[nodiscard]] attempt_verdict judge_answer(const answer_facts& in);
 
-/// Classifies a stream whose HTTP answer is complete. `cut_within_event`: it ended after part of an
-/// event.
-[[nodiscard]] attempt_verdict judge_stream_end(bool cut_within_event);
+/// Classifies a stream whose HTTP answer is complete. `ended_within_event`: it ended after part of
+/// an event.
+[[nodiscard]] attempt_verdict judge_stream_end(bool ended_within_event);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/fleet_view.h
+++ b/include/cedarpoint/fleet/fleet_view.h
@@ -31,7 +31,7 @@
 
     std::map<std::string, record> records_; ///< removed ones are kept as tombstones for deltas
     std::uint64_t version_ = 0;
-    std::uint64_t oldest_ = 0; ///< oldest version from which a delta can be made
+    std::uint64_t oldest_delta_base_ = 0; ///< oldest version from which a delta can be made
 };
 
 /// An entry daemon's copy of the view. Applies updates in order and never returns to an older one.
@@ -50,7 +50,7 @@
 private:
     void put(const wire::fleet_item& item);
 
-    std::map<std::string, wire::fleet_item> items_; ///< runners and groups
+    std::map<std::string, wire::fleet_item> items_; ///< all but the configuration
     wire::accepted_configuration configuration_;
     std::uint64_t term_ = 0;
     std::uint64_t version_ = 0;
--- a/include/cedarpoint/fleet/health_reports.h
+++ b/include/cedarpoint/fleet/health_reports.h
@@ -35,8 +35,9 @@
     [[nodiscard]] bool is_unreachable_to_all(instant now, instant since,
                                              const runner_id& runner) const;
     /// Returns the requests in flight at each runner, by the reports of all entry daemons but
-    /// `asker`.
-    [[nodiscard]] std::map<runner_id, int> loads_without(instant now, const daemon_id& asker) const;
+    /// `excluded`.
+    [[nodiscard]] std::map<runner_id, int> loads_without(instant now,
+                                                         const daemon_id& excluded) const;
     /// Returns the number of entry daemons that share the fleet's limits: those with a recent
     /// report.
     [[nodiscard]] std::size_t count_followers(instant now) const;
--- a/include/cedarpoint/fleet/load_limiter.h
+++ b/include/cedarpoint/fleet/load_limiter.h
@@ -12,7 +12,7 @@
 /// together.
 class load_limiter {
 public:
-    void set_limits(double per_second, int at_once);
+    void set_limits(double per_second, int max_concurrent);
     /// If true, neither limit applies. Loads that begin before the first request are short, and the
     /// store does not count them.
     void set_unmetered(bool unmetered) { unmetered_ = unmetered; }
@@ -29,9 +29,9 @@
     [[nodiscard]] bool is_within_rate(instant now, std::size_t count) const;
 
     double per_second_ = 1;
-    std::size_t at_once_ = 1;
+    std::size_t max_concurrent_ = 1;
     bool unmetered_ = false;
-    std::deque<instant> begun_;
+    std::deque<instant> begin_times_;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/stall_rule.h
+++ b/include/cedarpoint/fleet/stall_rule.h
@@ -12,23 +12,23 @@
 // a stream that is moved and finds no other runner is aborted.
 
 /// Minimum time limit for the first event.
-inline constexpr milliseconds shortest_first_event_wait{700};
+inline constexpr milliseconds min_first_event_limit{700};
 /// Minimum time limit between two events.
-inline constexpr milliseconds shortest_event_pause{400};
+inline constexpr milliseconds min_event_pause_limit{400};
 /// Ratio of a time limit to the route's target for the same time.
-inline constexpr int aims_until_stalled = 2;
+inline constexpr int limit_to_target_ratio = 2;
 
 /// Returns how long to wait for the first event after the request was sent. `target_latency` is the
 /// route's target for this time.
 [[nodiscard]] constexpr milliseconds first_event_limit(milliseconds target_latency)
 {
-    return std::max(shortest_first_event_wait, aims_until_stalled * target_latency);
+    return std::max(min_first_event_limit, limit_to_target_ratio * target_latency);
 }
 
 /// Returns how long to wait for the next event. `target_gap` is the route's target for this time.
 [[nodiscard]] constexpr milliseconds event_pause_limit(milliseconds target_gap)
 {
-    return std::max(shortest_event_pause, aims_until_stalled * target_gap);
+    return std::max(min_event_pause_limit, limit_to_target_ratio * target_gap);
 }
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/target_set.h
+++ b/include/cedarpoint/fleet/target_set.h
@@ -61,8 +61,8 @@
     /// Records the time between two events of a stream, or between a request and its plain answer.
     void on_wait(const runner_id& runner, duration wait);
     void on_success(const runner_id& runner);
-    /// Records an attempt whose answer is missing, incomplete or invalid, refuses the request, or
-    /// has a 5xx status.
+    /// Records a failed attempt: its answer is missing, incomplete, invalid or stalled, states that
+    /// the request was not run, or has a 5xx status.
     void on_failure(instant now, const runner_id& runner);
     /// Records a failed connection attempt; `refused`: the address answered with a reset.
     void on_unreachable(instant now, const runner_id& runner, bool refused);
@@ -81,7 +81,7 @@
     [[nodiscard]] const std::map<runner_id, fleet_target>& targets() const { return targets_; }
 
 private:
-    using use = std::pair<service_id, model_id>;
+    using service_model = std::pair<service_id, model_id>;
 
     /// Returns true if the runner has asked for a pause or said that it leaves. Enters the end of a
     /// pause into `out`.
@@ -90,7 +90,7 @@
     failure_domain_id own_domain_;
     std::mt19937_64 random_;
     std::map<runner_id, fleet_target> targets_;
-    std::map<use, std::vector<runner_id>> by_use_;
+    std::map<service_model, std::vector<runner_id>> by_service_model_;
     std::map<runner_id, target_stats> stats_;
     send_permits permits_;
     send_holds holds_;
--- a/include/cedarpoint/fleet/windowed_retry_budget.h
+++ b/include/cedarpoint/fleet/windowed_retry_budget.h
@@ -32,7 +32,7 @@
 
 private:
     using bucket = std::pair<instant, int>; ///< start time and number of requests
-    void forget_old(instant now);
+    void drop_expired(instant now);
     static void count(std::deque<bucket>& into, instant now);
     static int sum(const std::deque<bucket>& in);
 
--- a/src/fleet/answer_verdict.cpp
+++ b/src/fleet/answer_verdict.cpp
@@ -44,9 +44,9 @@
     return {attempt_outcome::server_error, effect_of_failure(in), why};
 }
 
-attempt_verdict judge_stream_end(bool cut_within_event)
+attempt_verdict judge_stream_end(bool ended_within_event)
 {
-    if (cut_within_event) {
+    if (ended_within_event) {
         return {attempt_outcome::may_have_run, target_effect::failure,
                 "the stream ended within an event"};
     }
--- a/src/fleet/fleet_messages.cpp
+++ b/src/fleet/fleet_messages.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 /// Longest time in a message, in milliseconds. No rule distinguishes longer times.
-constexpr std::int64_t longest_ms = 1'000'000;
+constexpr std::int64_t max_message_ms = 1'000'000;
 
 std::uint32_t to_wire_ms(milliseconds in)
 {
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(in.count(), 0, longest_ms));
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(in.count(), 0, max_message_ms));
 }
 
 wire::fleet_item encode_item(const view_runner& in)
--- a/src/fleet/fleet_view.cpp
+++ b/src/fleet/fleet_view.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /// Maximum number of tombstones, the records kept only so that deltas can report their removal.
-constexpr std::size_t most_removed = 2'000;
+constexpr std::size_t max_removed_records = 2'000;
 
 } // namespace
 
@@ -50,17 +50,17 @@
         }
         ++removed;
         if (!existing.item.removed()) {
-            wire::fleet_item gone;
-            gone.set_removed(true);
-            put(key, std::move(gone));
+            wire::fleet_item tombstone;
+            tombstone.set_removed(true);
+            put(key, std::move(tombstone));
         }
     }
     for (const auto& [key, item] : items) {
         put(key, item);
     }
-    if (removed > most_removed) {
+    if (removed > max_removed_records) {
         std::erase_if(records_, [](const auto& each) { return each.second.item.removed(); });
-        oldest_ = version_;
+        oldest_delta_base_ = version_;
     }
 }
 
@@ -74,12 +74,12 @@
 wire::fleet_update view_source::since(std::uint64_t from) const
 {
     wire::fleet_update out;
-    const bool whole = from == 0 || from < oldest_ || from > version_;
-    out.set_reset(whole);
-    out.set_from(whole ? 0 : from);
+    const bool is_reset = from == 0 || from < oldest_delta_base_ || from > version_;
+    out.set_reset(is_reset);
+    out.set_from(is_reset ? 0 : from);
     out.set_to(version_);
     for (const auto& [key, each] : records_) {
-        if (whole ? !each.item.removed() : each.item.version() > from) {
+        if (is_reset ? !each.item.removed() : each.item.version() > from) {
             *out.add_items() = each.item;
         }
     }
--- a/src/fleet/health_reports.cpp
+++ b/src/fleet/health_reports.cpp
@@ -109,11 +109,11 @@
     return tried;
 }
 
-std::map<runner_id, int> health_reports::loads_without(instant now, const daemon_id& asker) const
+std::map<runner_id, int> health_reports::loads_without(instant now, const daemon_id& excluded) const
 {
     std::map<runner_id, int> out;
     for (const auto& [follower, own] : entries_) {
-        if (follower == asker || !is_current(now, own)) {
+        if (follower == excluded || !is_current(now, own)) {
             continue;
         }
         for (const auto& [runner, seen] : own.runners) {
--- a/src/fleet/latency_tracker.cpp
+++ b/src/fleet/latency_tracker.cpp
@@ -10,7 +10,7 @@
 constexpr double weight_of_one_wait = 0.04;
 
 /// Minimum number of waits for a usable mean.
-constexpr std::uint32_t fewest_waits = 12;
+constexpr std::uint32_t min_waits = 12;
 
 /// A mean expires after this time without waits, so that a slow runner that receives no requests
 /// any more is tried again.
@@ -20,7 +20,7 @@
 constexpr double slow_ratio = 1.8;
 
 /// Exponent of the highest slowness reported, as a power of two.
-constexpr double most_doublings = 6;
+constexpr double max_doublings = 6;
 
 double median(std::vector<double> values)
 {
@@ -31,7 +31,7 @@
 
 std::uint32_t nearest_power_of_two(double ratio)
 {
-    const auto exponent = std::min(std::round(std::log2(ratio)), most_doublings);
+    const auto exponent = std::min(std::round(std::log2(ratio)), max_doublings);
     return static_cast<std::uint32_t>(std::exp2(exponent));
 }
 
@@ -50,7 +50,7 @@
     const auto latest = static_cast<double>(waited.count()) / waits;
     const auto kept = mean.waits == 0 ? 0 : std::pow(1 - weight_of_one_wait, waits);
     mean.wait_us = mean.wait_us * kept + latest * (1 - kept);
-    mean.waits = std::min(mean.waits + waits, fewest_waits);
+    mean.waits = std::min(mean.waits + waits, min_waits);
     mean.at = now;
 }
 
@@ -58,7 +58,7 @@
                                                                  const runner_id& runner) const
 {
     const auto found = means_.find(runner);
-    const bool usable = found != means_.end() && found->second.waits >= fewest_waits &&
+    const bool usable = found != means_.end() && found->second.waits >= min_waits &&
                         now - found->second.at <= mean_lifetime;
     return usable ? &found->second : nullptr;
 }
--- a/src/fleet/load_limiter.cpp
+++ b/src/fleet/load_limiter.cpp
@@ -10,31 +10,32 @@
 constexpr double window_seconds = 5;
 /// Loads are counted for a second longer than the window, because a runner may begin a load that
 /// much later than it was ordered.
-constexpr duration counted_for = seconds{6};
+constexpr duration counting_time = seconds{6};
 /// Fraction of the rate that is used. The rest allows for loads that begin even later.
-constexpr double used_part = 0.8;
+constexpr double usable_fraction = 0.8;
 
 } // namespace
 
-void load_limiter::set_limits(double per_second, int at_once)
+void load_limiter::set_limits(double per_second, int max_concurrent)
 {
     per_second_ = per_second;
-    at_once_ = static_cast<std::size_t>(std::max(at_once, 1));
+    max_concurrent_ = static_cast<std::size_t>(std::max(max_concurrent, 1));
 }
 
 bool load_limiter::has_room(std::size_t count, std::size_t running) const
 {
     // A group that needs more loads than may run concurrently begins while no other load runs.
-    return unmetered_ || running == 0 || running + count <= at_once_;
+    return unmetered_ || running == 0 || running + count <= max_concurrent_;
 }
 
 bool load_limiter::is_within_rate(instant now, std::size_t count) const
 {
-    const auto recent = static_cast<std::size_t>(std::count_if(
-        begun_.begin(), begun_.end(), [&](instant each) { return now - each < counted_for; }));
-    const auto most =
-        static_cast<std::size_t>(std::floor(per_second_ * window_seconds * used_part));
-    return recent + count <= std::max<std::size_t>(most, 1);
+    const auto recent = static_cast<std::size_t>(
+        std::count_if(begin_times_.begin(), begin_times_.end(),
+                      [&](instant each) { return now - each < counting_time; }));
+    const auto allowed =
+        static_cast<std::size_t>(std::floor(per_second_ * window_seconds * usable_fraction));
+    return recent + count <= std::max<std::size_t>(allowed, 1);
 }
 
 bool load_limiter::allows(instant now, std::size_t count, std::size_t running) const
@@ -52,10 +53,10 @@
 
 void load_limiter::begin(instant now, std::size_t count)
 {
-    while (!begun_.empty() && now - begun_.front() >= counted_for) {
-        begun_.pop_front();
+    while (!begin_times_.empty() && now - begin_times_.front() >= counting_time) {
+        begin_times_.pop_front();
     }
-    begun_.insert(begun_.end(), count, now);
+    begin_times_.insert(begin_times_.end(), count, now);
 }
 
 } // namespace cedarpoint
--- a/src/fleet/request_admission.cpp
+++ b/src/fleet/request_admission.cpp
@@ -8,7 +8,7 @@
 /// The platform's priorities range from 0 to 9.
 constexpr int lowest_engine_priority = 9;
 /// Number of route priorities within each account priority.
-constexpr int route_ranks = 2;
+constexpr int priorities_per_account_level = 2;
 
 /// Returns the account of a bearer key; null if there is no key or no account has it.
 const fleet_account* find_account(const route_table& routes, std::string_view authorization)
@@ -57,7 +57,8 @@
 int engine_priority(const fleet_route& route, const fleet_account* account)
 {
     const int account_rank = account == nullptr ? 0 : account->priority;
-    return std::clamp(account_rank * route_ranks + route.priority, 0, lowest_engine_priority);
+    return std::clamp(account_rank * priorities_per_account_level + route.priority, 0,
+                      lowest_engine_priority);
 }
 
 } // namespace cedarpoint
--- a/src/fleet/route_table.cpp
+++ b/src/fleet/route_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Returns the host name in lower case and without a port.
-std::string normal_host(std::string_view host)
+std::string normalize_host(std::string_view host)
 {
     std::string out{
         host.substr(0, host.rfind(':') == std::string_view::npos ? host.size() : host.rfind(':'))};
@@ -22,7 +22,7 @@
     : configuration_{std::move(configuration)}
 {
     for (const auto& route : configuration_.routes) {
-        by_host_[normal_host(route.host)].push_back(&route);
+        by_host_[normalize_host(route.host)].push_back(&route);
     }
     for (auto& [host, routes] : by_host_) {
         std::sort(routes.begin(), routes.end(), [](const fleet_route* a, const fleet_route* b) {
@@ -38,7 +38,7 @@
 
 const fleet_route* route_table::find_route(std::string_view host, std::string_view path) const
 {
-    const auto found = by_host_.find(normal_host(host));
+    const auto found = by_host_.find(normalize_host(host));
     if (found == by_host_.end()) {
         return nullptr;
     }
--- a/src/fleet/target_ranking.cpp
+++ b/src/fleet/target_ranking.cpp
@@ -24,8 +24,8 @@
 constexpr duration stall_threshold = milliseconds{250};
 
 /// Backoff after the first failure; it doubles with each further one, up to 4.8 s.
-constexpr duration shortest_backoff = milliseconds{300};
-constexpr int most_doublings = 4;
+constexpr duration initial_backoff = milliseconds{300};
+constexpr int max_doublings = 4;
 
 } // namespace
 
@@ -60,7 +60,7 @@
 
 duration backoff_after(int failures)
 {
-    return shortest_backoff * (1 << std::min(failures - 1, most_doublings));
+    return initial_backoff * (1 << std::min(failures - 1, max_doublings));
 }
 
 } // namespace cedarpoint
--- a/src/fleet/target_set.cpp
+++ b/src/fleet/target_set.cpp
@@ -27,7 +27,7 @@
     return out;
 }
 
-bool has_news(const target_stats& in)
+bool has_observations(const target_stats& in)
 {
     return in.in_flight > 0 || in.failed_connects > 0 || in.refused || in.waits > 0;
 }
@@ -42,7 +42,7 @@
 void target_set::update(instant now, const view_content& view)
 {
     targets_.clear();
-    by_use_.clear();
+    by_service_model_.clear();
     std::map<runner_id, birth> lives;
     std::map<runner_id, const view_group*> heads;
     for (const auto& [name, group] : view.groups) {
@@ -53,7 +53,7 @@
     for (const auto& [runner, facts] : view.runners) {
         const auto head = heads.find(runner);
         auto target = make_target(facts, head == heads.end() ? nullptr : head->second);
-        by_use_[{target.service, target.model}].push_back(runner);
+        by_service_model_[{target.service, target.model}].push_back(runner);
         lives[runner] = target.life;
         targets_.emplace(runner, std::move(target));
     }
@@ -79,8 +79,8 @@
                                  const std::set<runner_id>& tried)
 {
     target_choice out;
-    const auto candidates = by_use_.find({service, model});
-    if (candidates == by_use_.end()) {
+    const auto candidates = by_service_model_.find({service, model});
+    if (candidates == by_service_model_.end()) {
         return out;
     }
     std::uniform_real_distribution<double> draw(0, 1);
@@ -199,7 +199,7 @@
 {
     std::map<runner_id, runner_observation> out;
     for (auto& [runner, stats] : stats_) {
-        if (!has_news(stats)) {
+        if (!has_observations(stats)) {
             continue;
         }
         auto& seen = out[runner];
--- a/src/fleet/windowed_retry_budget.cpp
+++ b/src/fleet/windowed_retry_budget.cpp
@@ -33,7 +33,7 @@
     return out;
 }
 
-void windowed_retry_budget::forget_old(instant now)
+void windowed_retry_budget::drop_expired(instant now)
 {
     // The time of a request within its bucket is not known. Retries are counted for one bucket
     // longer than the window and first attempts for one bucket less, so that the bound holds for
@@ -44,17 +44,17 @@
 
 void windowed_retry_budget::on_first_attempt(instant now)
 {
-    forget_old(now);
+    drop_expired(now);
     count(first_attempts_, now);
 }
 
 bool windowed_retry_budget::take(instant now, std::size_t daemons)
 {
-    forget_old(now);
+    drop_expired(now);
     const bool has_part = daemons > 0 && now - started_ >= options_.window;
     const auto slack = has_part ? options_.slack / static_cast<double>(daemons) : 0;
-    const auto most = options_.safety * (options_.ratio * sum(first_attempts_) + slack);
-    if (sum(retries_) + 1 > most) {
+    const auto allowed = options_.safety * (options_.ratio * sum(first_attempts_) + slack);
+    if (sum(retries_) + 1 > allowed) {
         return false;
     }
     count(retries_, now);
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -31,7 +31,7 @@
     begin_life();
 }
 
-void platform_runner::keep_port()
+void platform_runner::keep_port_open()
 {
     listener_ = std::make_unique<http_listener>(
         runner_limits(),
@@ -42,7 +42,7 @@
 
 void platform_runner::begin_life()
 {
-    is_away_ = false;
+    is_down_ = false;
     listener_.reset();
     listener_ = std::make_unique<http_listener>(
         runner_limits(),
@@ -57,15 +57,15 @@
 
 void platform_runner::crash()
 {
-    if (is_away_) {
+    if (is_down_) {
         return;
     }
-    is_away_ = true;
+    is_down_ = true;
     ends.push_back(steady_now());
     timer_.stop();
     listener_.reset();
     if (port_is_kept) {
-        keep_port();
+        keep_port_open();
     }
     group_.clear();
     state_.clear();
@@ -103,7 +103,7 @@
     }
     announcing_ = true;
     const auto body = announcement_text();
-    const bool tells_drain = draining_;
+    const bool reports_draining = draining_;
     exchange_request request;
     request.bytes = fmt::format("POST /cedarpoint/instances/{}/heartbeat HTTP/1.1\r\n"
                                 "Host: h\r\nContent-Length: {}\r\n\r\n{}",
@@ -113,11 +113,11 @@
     exchange_handlers handlers;
     handlers.on_head = [status](const http_head& head) { *status = head.status; };
     handlers.on_body = [](const std::string&) {};
-    handlers.on_end = [this, connection, status, tells_drain](exchange_end, const reason&) {
+    handlers.on_end = [this, connection, status, reports_draining](exchange_end, const reason&) {
         pool_.give_back(connection);
         announcing_ = false;
         if (*status == 200) {
-            drain_acknowledged_ = drain_acknowledged_ || tells_drain;
+            drain_acknowledged_ = drain_acknowledged_ || reports_draining;
             return;
         }
         control_ = (control_ + 1) % controls_.size();
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -77,7 +77,7 @@
     void announce();
     void begin_life();
     /// Accepts connections at the address and aborts each one that sends a request.
-    void keep_port();
+    void keep_port_open();
     [[nodiscard]] std::string announcement_text();
 
     std::string id_;
@@ -85,7 +85,7 @@
     std::vector<endpoint> controls_;
     std::size_t control_ = 0;
     std::unique_ptr<http_listener> listener_; ///< null while down, unless `port_is_kept`
-    bool is_away_ = false;
+    bool is_down_ = false;
     endpoint address_{"127.0.0.1", 0}; ///< kept across restarts
     runner_pool pool_;
     QTimer timer_;
