--- a/src/fleet/fleet_messages.cpp
+++ b/src/fleet/fleet_messages.cpp
@@ -194,6 +194,7 @@
         auto* each = out.add_checks();
         each->set_runner(runner.str());
         each->set_reachable(check.reachable);
+        // Not limited to `max_message_ms`, unlike the other times.
         each->set_age_ms(static_cast<std::uint32_t>(check.age.count()));
     }
     for (const auto& [model, demand] : in.demand) {
--- a/src/fleet/request_admission.cpp
+++ b/src/fleet/request_admission.cpp
@@ -7,7 +7,8 @@
 
 /// The platform's priorities range from 0 to 9.
 constexpr int lowest_engine_priority = 9;
-/// Number of route priorities within each account priority.
+/// Number of route priorities within each account priority. A route priority is not limited to it:
+/// 2 equals the next account priority.
 constexpr int priorities_per_account_level = 2;
 
 /// Returns the account of a bearer key; null if there is no key or no account has it.
--- a/src/fleet/route_table.cpp
+++ b/src/fleet/route_table.cpp
@@ -6,7 +6,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Returns the host name in lower case and without a port.
+/// Returns the host name in lower case and without a port. The text after the last colon is taken
+/// as the port, also in an IPv6 address that has none.
 std::string normalize_host(std::string_view host)
 {
     std::string out{
