--- a/src/fleet/fleet_messages.cpp
+++ b/src/fleet/fleet_messages.cpp
@@ -10,12 +10,12 @@
 namespace cedarpoint {
 namespace {
 
-/// The longest time told in milliseconds: more makes no difference to any rule.
-constexpr std::int64_t longest_ms = 1'000'000;
+/// Longest time in a message, in milliseconds. No rule distinguishes longer times.
+constexpr std::int64_t max_message_ms = 1'000'000;
 
 std::uint32_t to_wire_ms(milliseconds in)
 {
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(in.count(), 0, longest_ms));
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(in.count(), 0, max_message_ms));
 }
 
 wire::fleet_item encode_item(const view_runner& in)
@@ -194,6 +194,7 @@
         auto* each = out.add_checks();
         each->set_runner(runner.str());
         each->set_reachable(check.reachable);
+        // Not limited to `max_message_ms`, unlike the other times.
         each->set_age_ms(static_cast<std::uint32_t>(check.age.count()));
     }
     for (const auto& [model, demand] : in.demand) {
@@ -256,7 +257,7 @@
 {
     std::vector<suspect> out;
     for (const auto& each : in.suspects()) {
-        // One without a valid address can't be tried; the registry holds none.
+        // A runner without a valid address cannot be tried. The registry contains none.
         if (const auto address = endpoint::parse(each.address())) {
             out.push_back({runner_id{each.runner()}, *address});
         }
--- a/src/fleet/request_admission.cpp
+++ b/src/fleet/request_admission.cpp
@@ -5,12 +5,13 @@
 namespace cedarpoint {
 namespace {
 
-/// The platform's range is 0 to 9.
+/// The platform's priorities range from 0 to 9.
 constexpr int lowest_engine_priority = 9;
-/// Ranks of routes within one rank of an account.
-constexpr int route_ranks = 2;
+/// Number of route priorities within each account priority. A route priority is not limited to it:
+/// 2 equals the next account priority.
+constexpr int priorities_per_account_level = 2;
 
-/// The account of a bearer key; null if there is no key or nobody has it.
+/// Returns the account of a bearer key; null if there is no key or no account has it.
 const fleet_account* find_account(const route_table& routes, std::string_view authorization)
 {
     constexpr std::string_view scheme = "Bearer ";
@@ -57,7 +58,8 @@
 int engine_priority(const fleet_route& route, const fleet_account* account)
 {
     const int account_rank = account == nullptr ? 0 : account->priority;
-    return std::clamp(account_rank * route_ranks + route.priority, 0, lowest_engine_priority);
+    return std::clamp(account_rank * priorities_per_account_level + route.priority, 0,
+                      lowest_engine_priority);
 }
 
 } // namespace cedarpoint
--- a/src/fleet/windowed_retry_budget.cpp
+++ b/src/fleet/windowed_retry_budget.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests are counted in buckets of this width, so that memory does not grow with traffic.
+/// Width of the buckets in which requests are counted. Buckets keep memory use independent of the
+/// traffic.
 constexpr duration bucket_width = milliseconds{250};
 
 void drop_before(std::deque<std::pair<instant, int>>& buckets, instant oldest)
@@ -32,27 +33,28 @@
     return out;
 }
 
-void windowed_retry_budget::forget_old(instant now)
+void windowed_retry_budget::drop_expired(instant now)
 {
-    // A bucket's requests came at any time within it: retries count a bucket longer than the
-    // window, first attempts a bucket less, so that the bound holds for every window.
+    // The time of a request within its bucket is not known. Retries are counted for one bucket
+    // longer than the window and first attempts for one bucket less, so that the bound holds for
+    // every window.
     drop_before(first_attempts_, now - options_.window + bucket_width);
     drop_before(retries_, now - options_.window - bucket_width);
 }
 
 void windowed_retry_budget::on_first_attempt(instant now)
 {
-    forget_old(now);
+    drop_expired(now);
     count(first_attempts_, now);
 }
 
 bool windowed_retry_budget::take(instant now, std::size_t daemons)
 {
-    forget_old(now);
+    drop_expired(now);
     const bool has_part = daemons > 0 && now - started_ >= options_.window;
     const auto slack = has_part ? options_.slack / static_cast<double>(daemons) : 0;
-    const auto most = options_.safety * (options_.ratio * sum(first_attempts_) + slack);
-    if (sum(retries_) + 1 > most) {
+    const auto allowed = options_.safety * (options_.ratio * sum(first_attempts_) + slack);
+    if (sum(retries_) + 1 > allowed) {
         return false;
     }
     count(retries_, now);
