--- a/include/cedarpoint/quarantine/crash_ledger.h
+++ b/include/cedarpoint/quarantine/crash_ledger.h
@@ -10,43 +10,46 @@
 
 namespace cedarpoint {
 
-/// True if both saw the same end of the same runner. What tells two ends apart is a connection that
-/// was made after the first of them: another process took it. So a runner may be back at once. Ends
-/// that are proved by a later life alone are told apart by their lives.
+/// Returns true if both observations are of the same crash of the same runner. Two crashes of one
+/// runner are distinguished by a connection that was made after the first crash: a new process
+/// accepted it. This holds however soon the runner restarts. If only a later life of the runner
+/// proves one of the crashes, they are distinguished by the life that ended.
 [[nodiscard]] bool is_same_end(const crash_observation& one, const crash_observation& other);
 
-/// Adds up which requests were in flight when runners ended. Observations of several daemons merge
-/// in any order, also repeated and late ones.
+/// Records which requests were in flight when runners crashed. Observations from several daemons
+/// can be merged in any order, including repeated and late ones.
 ///
-/// Of the requests in flight at a runner that ends, at most one is the cause. What tells it from
-/// the others:
-///  - it ends one runner after the other. Crashes count only if the request was sent to the later
-///    runner after the earlier one had ended: several runners that end at once, with a rack, count
-///    once for a request that was at all of them.
-///  - no runner ever answers it whole. Any answer clears a request of all that was seen before.
-///  - a crash that a quarantined request explains does not count for others.
+/// At most one of the requests in flight at a crashing runner is the cause. It differs from the
+/// others as follows:
+///  - It crashes one runner after the other. Crashes are counted only if the request was sent to
+///    the later runner after the earlier one had ended. Several runners that end at the same time,
+///    for example when a rack fails, count once for a request that was in flight at all of them.
+///  - No runner ever answers it completely. Any complete answer clears a request of all earlier
+///    crashes.
+///  - A crash that involved a quarantined request does not count against other requests.
 class crash_ledger {
 public:
-    /// `most_requests`: that are kept; those without a crash go first, then those whose latest
-    /// crash is the oldest.
+    /// Keeps at most `most_requests` requests. Evicts requests without a crash first, then those
+    /// whose latest crash is the oldest.
     explicit crash_ledger(std::size_t most_requests) : most_requests_{most_requests} {}
 
     void clear();
     void merge(const request_fingerprint& request, const crash_history& in);
-    /// A crash that is seen here; the same runner's end counts once, whoever saw it.
+    /// Adds a crash. Observations of the same crash by several daemons count once.
     void add(const request_fingerprint& request, crash_observation in);
-    /// A runner's whole answer has come.
+    /// Records that a runner answered the request completely.
     void on_answer(instant now, const request_fingerprint& request);
 
     [[nodiscard]] bool empty() const { return histories_.empty(); }
-    /// Null if nothing is known of the request.
+    /// Returns null if nothing is recorded for the request.
     [[nodiscard]] const crash_history* find(const request_fingerprint& request) const;
-    /// Runners that have ended under the request one after the other. Crashes that one of `causes`
-    /// explains don't count, unless the request is among them.
+    /// Returns the number of runners that crashed one after the other while running the request.
+    /// Crashes that involved one of `causes` are left out, unless the request is itself in
+    /// `causes`.
     [[nodiscard]] int count(const request_fingerprint& request,
                             const std::set<request_fingerprint>& causes) const;
-    /// The same, also those that did not end one after the other: copies of one request may be in
-    /// flight at several runners.
+    /// Like `count`, but includes crashes that did not follow one another: copies of one request
+    /// may be in flight at several runners.
     [[nodiscard]] int count_all(const request_fingerprint& request,
                                 const std::set<request_fingerprint>& causes) const;
     [[nodiscard]] const crash_histories& histories() const { return histories_; }
--- a/include/cedarpoint/quarantine/crash_messages.h
+++ b/include/cedarpoint/quarantine/crash_messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Encodes and decodes what daemons tell each other of requests under which runners end.
-// Between daemons times travel as ages at the moment when the message was made.
+// Encodes and decodes the messages in which daemons exchange crash observations.
+// Times are sent as ages at the moment when the message was made.
 
 #include "cedarpoint/core/time.h"
 #include "cedarpoint/quarantine/crash_observation.h"
@@ -12,10 +12,10 @@
 using suspected_requests = google::protobuf::RepeatedPtrField<wire::suspected_request>;
 
 void encode_crashes(instant now, const crash_histories& in, suspected_requests& out);
-/// `made_at`: when the sender made the message, by this daemon's clock. Passes over requests whose
-/// fingerprint can't be read.
+/// `made_at`: when the sender made the message, by this daemon's clock. Skips requests whose
+/// fingerprint can't be parsed.
 [[nodiscard]] crash_histories decode_crashes(instant made_at, const suspected_requests& in);
-/// One crash as it is reported, and as the log keeps it.
+/// Encodes one crash for a report or for the replicated log.
 [[nodiscard]] wire::crash_sighting encode_crash(instant now, const crash_observation& in);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/quarantine/crash_observation.h
+++ b/include/cedarpoint/quarantine/crash_observation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What daemons tell each other of requests under which runners have ended.
+// Observations of runner crashes and the requests involved, as exchanged between daemons.
 
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/core/time.h"
@@ -15,24 +15,26 @@
 
 namespace cedarpoint {
 
-/// A runner has ended while it had a request in flight.
+/// One daemon's observation that a runner ended, or may have ended, with a request in flight.
 struct crash_observation {
     runner_id runner;
-    instant sent_at;  ///< the request, to this runner
-    instant ended_at; ///< its connection, without an answer
-    daemon_id daemon; ///< that saw it
+    instant sent_at;  ///< when the request was sent to this runner
+    instant ended_at; ///< when its connection ended without an answer
+    daemon_id daemon; ///< the daemon that made the observation
     request_id request;
-    /// The connection that ended was made; empty if an earlier version of the program saw the end.
+    /// When the connection was made; empty if the daemon runs a version that doesn't report it.
     std::optional<instant> connected_at;
-    /// Tells the observations of one daemon apart, however often it reports them; 0: not told.
+    /// Identifies the observation among those of one daemon at this runner, also when it is
+    /// reported again; 0 if the daemon doesn't report it.
     std::uint64_t serial = 0;
-    /// The runner's latest life that the leader had heard of when it ended.
+    /// The latest life of the runner that the leader knew of at `ended_at`.
     birth life;
-    /// Only a later life of the runner shows that it ended: its address took connections all along.
+    /// True if the crash is proved only by a later life of the runner, because its address
+    /// accepted connections all along.
     bool is_proved_by_life = false;
 };
 
-/// True if both are one observation of one daemon, told twice.
+/// Returns true if both are the same observation, reported twice by one daemon.
 [[nodiscard]] inline bool is_same_observation(const crash_observation& one,
                                               const crash_observation& other)
 {
@@ -40,22 +42,24 @@
            one.runner == other.runner;
 }
 
-/// What is known of one request.
+/// The crashes and the latest answer recorded for one request.
 struct crash_history {
     std::vector<crash_observation> crashes;
-    /// A runner has answered the request whole: it does not end the runners that run it.
+    /// When a runner last answered the request completely, which shows that the request does not
+    /// crash the runners that run it; empty if none has.
     std::optional<instant> answered_at;
 };
 
 using crash_histories = std::map<request_fingerprint, crash_history>;
 
-/// Runners that have ended under each request, one after the other.
+/// For each request, the number of runners that crashed one after the other while running it.
 using crash_counts = std::map<request_fingerprint, int>;
 
-/// A request is sent to no runner any more once this many have ended under it, one after the other.
+/// A request is quarantined once this many runners have crashed one after the other while running
+/// it.
 inline constexpr int crashes_to_quarantine = 3;
 
-/// From here on a request has one attempt: its own retries would end the next runners.
+/// From this count on a failed attempt is not retried: the retries would crash further runners.
 inline constexpr int crashes_to_stop_retries = 2;
 
 } // namespace cedarpoint
--- a/include/cedarpoint/quarantine/crash_witness.h
+++ b/include/cedarpoint/quarantine/crash_witness.h
@@ -14,56 +14,60 @@
 
 namespace cedarpoint {
 
-/// What one daemon knows of requests under which runners end: what it saw itself, and what the
-/// leader told it of the others'. Decides for each request whether it may be sent.
+/// Tracks, in one daemon, the requests that crash runners: from the daemon's own observations, and
+/// from the counts that the leader adds up over all daemons. Decides whether a request may be sent.
 ///
-/// A connection that ends without an answer proves no crash: it may be a reset, a cut, or a spoiled
-/// answer. So the runner's address is tried at once, and only a refused connection counts: the
-/// process is gone. If the address takes the connection, the cut is reported apart from crashes;
-/// the leader does not count it. Runners that are leaving end as planned; the caller passes over
-/// them.
+/// A connection that ends without an answer (a cut) does not prove a crash: the connection may have
+/// been reset or interrupted, or the answer malformed. The runner's address is therefore checked at
+/// once, and only a refused connection counts as a crash: the process is gone. If the address
+/// accepts the connection, the cut is reported separately from crashes; the leader does not count
+/// it. A runner that is leaving ends as planned; callers don't report its cuts here.
 ///
-/// Relies on: the leader learning of all observations. They are reported until the leader of the
-/// present term has answered a report that holds them, so a new leader gets them all.
+/// Every observation must reach the leader. Each is therefore reported until the leader of the
+/// current term has answered a report that contains it, so a new leader receives them all.
 class crash_witness {
 public:
     crash_witness();
 
-    /// A connection to a runner ended without an answer while `request` was in flight there. True
-    /// if its address is to be tried, with the result for `on_checked`.
+    /// Records that a connection to a runner ended without an answer while `request` was in flight.
+    /// Returns true if the caller has to check the runner's address and pass the result to
+    /// `on_checked`; false if a check of this runner is already under way.
     bool on_cut(const request_fingerprint& request, crash_observation in);
-    /// The address of a runner was tried. Returns what has become an observation by that: of cuts
-    /// of several lives only those of the latest one, which a refused connection shows to have
-    /// ended.
+    /// Takes the result of the check of a runner's address. Returns the cuts that it proves to be
+    /// crashes. If they belong to several lives of the runner, a refused connection proves only
+    /// those of the latest one.
     crash_histories on_checked(instant now, const runner_id& runner, bool refused);
-    /// What another daemon knows, where there is no leader to add it up.
+    /// Adds the observations of another daemon, where there is no leader to combine them.
     void merge(instant now, const crash_histories& in);
-    /// A runner's whole answer to the request has come.
+    /// Records that a runner answered the request completely.
     void on_answer(instant now, const request_fingerprint& request);
-    /// Replaces what the leader knows. What was seen of a request whose count has become 0 is
-    /// forgotten.
+    /// Replaces the counts of the leader. Drops this daemon's own observations of a request whose
+    /// count has become 0.
     void set_shared(instant now, crash_counts counts);
 
-    /// False while no request is suspected: then a fingerprint need not be computed.
+    /// Returns false while no request is suspected; then callers need not compute fingerprints to
+    /// ask `is_quarantined` or `may_retry`.
     [[nodiscard]] bool is_watching() const
     {
         return !shared_.empty() || !own_.empty() || !unchecked_.empty();
     }
-    /// False while no answer can clear a request of anything.
+    /// Returns false while no request has crashes or cuts that an answer could clear.
     [[nodiscard]] bool needs_answers() const { return is_watching() || !cuts_.empty(); }
-    /// Not to be sent to any runner: by the leader's decision, or while none speaks by what was
-    /// seen here alone.
+    /// Returns true if the request must not be sent to any runner: by the leader's decision or,
+    /// while no leader answers, also by this daemon's own observations.
     [[nodiscard]] bool is_quarantined(instant now, const request_fingerprint& request) const;
-    /// A failed attempt is not to be followed by another of the same try.
+    /// Returns true if a failed attempt may be retried. Cuts whose check is under way count as
+    /// crashes here once there is at least one crash.
     [[nodiscard]] bool may_retry(const request_fingerprint& request) const;
     [[nodiscard]] std::size_t count_quarantined() const { return quarantined_.size(); }
     [[nodiscard]] std::size_t count_suspected() const { return shared_.size(); }
 
-    /// What the leader of the present term has not confirmed.
+    /// Returns the crashes and answers that the leader of the current term has not confirmed.
     [[nodiscard]] crash_histories unconfirmed() const;
-    /// Cuts that prove nothing here and that the leader of the present term has not confirmed.
+    /// Returns the cuts that this daemon can't prove to be crashes and that the leader of the
+    /// current term has not confirmed.
     [[nodiscard]] crash_histories unconfirmed_cuts(instant now);
-    /// The leader of `term` has answered the report that was made at `asked_at`.
+    /// Records that the leader of `term` has answered the report that was made at `asked_at`.
     void on_confirmed(instant now, std::uint64_t term, instant asked_at);
 
 private:
@@ -71,29 +75,32 @@
         request_fingerprint request;
         crash_observation crash;
     };
-    /// The address took a connection after it.
+    /// A cut that is not proved to be a crash: the runner's address accepted a connection
+    /// afterwards, or the refused connection proves only the end of a later life.
     struct unproved_cut {
         request_fingerprint request;
         crash_observation crash;
         instant checked_at;
         bool is_told = false;
-        bool is_confirmed = false; ///< by the leader of the present term
+        bool is_confirmed = false; ///< by the leader of the current term
     };
 
     [[nodiscard]] int count(const request_fingerprint& request) const;
     void note_change(instant now, const request_fingerprint& request);
     void keep_unproved(instant now, unchecked_cut in);
-    /// Drops the cuts of a request that was answered. True if the leader was told of one.
+    /// Drops the cuts of a request that was answered. Returns true if one of them had been reported
+    /// to the leader.
     bool drop_cuts(const request_fingerprint& request);
 
     crash_ledger own_;
     crash_counts shared_;
     std::set<request_fingerprint> quarantined_; ///< by the leader
-    std::set<request_fingerprint> own_causes_;  ///< by what was seen here
+    std::set<request_fingerprint> own_causes_;  ///< by this daemon's own observations
     std::optional<instant> leader_heard_at_;
     std::map<runner_id, std::vector<unchecked_cut>> unchecked_;
     std::deque<unproved_cut> cuts_;
-    std::map<request_fingerprint, instant> changed_at_; ///< of what is not confirmed
+    /// When the history of each request that is not confirmed last changed.
+    std::map<request_fingerprint, instant> changed_at_;
     std::uint64_t term_ = 0;
 };
 
--- a/include/cedarpoint/quarantine/quarantine_controller.h
+++ b/include/cedarpoint/quarantine/quarantine_controller.h
@@ -13,43 +13,47 @@
 
 namespace cedarpoint {
 
-/// A request that is to be sent to no runner any more, with the crashes that show why.
+/// An order to quarantine a request, with the crashes that justify it.
 struct quarantine_order {
     request_fingerprint request;
     std::vector<crash_observation> crashes;
 };
 
-/// Adds up for the whole fleet what entry daemons saw of requests under which runners end, and
-/// decides which requests are quarantined. Soft state of the leading control daemon, begun anew
-/// with each term: a new leader gets the observations from the daemons. The decisions themselves
-/// are kept in the log.
+/// Combines the crash observations of all entry daemons and decides which requests are
+/// quarantined. This is soft state of the leading control daemon that is cleared at the start of
+/// each term; the daemons report their observations again to a new leader. The decisions themselves
+/// are kept in the replicated log.
 class quarantine_controller {
 public:
     quarantine_controller();
 
     void clear();
     void on_report(const crash_histories& in);
-    /// Cuts at runners whose addresses took connections afterwards. Returns those that are known to
-    /// have been ends: a later life may have been heard before.
+    /// Adds cuts that the entry daemons could not prove to be crashes. Returns those that are now
+    /// known to be crashes: a later life of the runner may have been seen already. Not called by
+    /// `fleet_leader` today: reported cuts are not counted.
     crash_histories on_cuts(instant now, const crash_histories& in);
-    /// The log holds the runner in this life.
+    /// Records the life of the runner that the replicated log holds.
     void expect(const runner_id& runner, birth life) { lives_.expect(runner, life); }
-    /// A heartbeat of the runner in this life has come. Returns the cuts that this proves.
+    /// Records a heartbeat of the runner in this life. Returns the cuts that this proves to be
+    /// crashes.
     crash_histories on_heard(instant now, const runner_id& runner, birth life);
-    /// Another runner has begun at its address; the same.
+    /// Records that another runner has started at the runner's address. Returns the cuts that this
+    /// proves to be crashes.
     crash_histories on_replaced(instant now, const runner_id& runner);
     void forget(const runner_id& runner) { lives_.forget(runner); }
-    /// Requests that are to be quarantined beside those in `quarantined`, by `find_crash_causes`;
-    /// each is named again after a while, until it is among them.
+    /// Returns the requests to quarantine in addition to those in `quarantined`, as determined by
+    /// `find_crash_causes`. Returns each again at intervals until it is in `quarantined`.
     [[nodiscard]] std::vector<quarantine_order>
     decide(instant now, const std::set<request_fingerprint>& quarantined);
-    /// What entry daemons are to know: how many runners have ended under each request; 0 for those
-    /// in `lifted`, so that they forget what they saw of them.
+    /// Returns the crash counts to send to entry daemons. The count is 0 for the requests in
+    /// `lifted`, so that the daemons drop their own observations of them.
     [[nodiscard]] crash_counts counts(const std::set<request_fingerprint>& quarantined,
                                       const std::set<request_fingerprint>& lifted = {}) const;
-    /// An operator holds the request for harmless from now on.
+    /// Records that an operator lifted the quarantine of the request, which clears it of all
+    /// earlier crashes.
     void on_lifted(instant now, const request_fingerprint& request);
-    /// Null if nothing is known of the request.
+    /// Returns null if nothing is recorded for the request.
     [[nodiscard]] const crash_history* find(const request_fingerprint& request) const
     {
         return ledger_.find(request);
@@ -62,8 +66,8 @@
     runner_lives lives_;
     unproved_cuts cuts_;
     std::map<request_fingerprint, instant> ordered_at_;
-    std::set<request_fingerprint> causes_; ///< as of the latest report, beside `decided_for_`
-    std::set<request_fingerprint> decided_for_;
+    std::set<request_fingerprint> causes_;      ///< as of the latest decision
+    std::set<request_fingerprint> decided_for_; ///< requests already quarantined at that time
     bool has_news_ = false;
 };
 
--- a/include/cedarpoint/quarantine/runner_lives.h
+++ b/include/cedarpoint/quarantine/runner_lives.h
@@ -10,24 +10,26 @@
 
 namespace cedarpoint {
 
-/// When each life of the runners was heard. A connection to a runner that was cut may have been
-/// reset on its way; that a later life of the runner is heard next shows that the process behind it
-/// had ended. Soft state of the leading control daemon.
+/// Records when heartbeats of each life of the runners arrived. A life is one run of a runner's
+/// process under the runner's id; see `birth`. A connection to a runner that was cut may only have
+/// been reset by the network. If the next heartbeat after the cut is from a later life, the process
+/// had ended. This is soft state of the leading control daemon.
 class runner_lives {
 public:
-    /// A heartbeat of the runner in this life has come. True if the life is new.
+    /// Records a heartbeat of the runner in this life. Returns true if the life is new.
     bool on_heard(instant now, const runner_id& runner, birth life);
-    /// The log holds the runner in this life; it has not spoken yet.
+    /// Records the life of the runner that the replicated log holds, before its first heartbeat.
     void expect(const runner_id& runner, birth life);
-    /// Another runner has begun at its address.
+    /// Records that another runner has started at the runner's address.
     void on_replaced(instant now, const runner_id& runner);
     void forget(const runner_id& runner) { runners_.erase(runner); }
     void clear() { runners_.clear(); }
 
-    /// The latest life that had been heard at `at`; empty if none had.
+    /// Returns the latest life whose first heartbeat had arrived by `at`; empty if there was none.
     [[nodiscard]] std::optional<birth> life_at(const runner_id& runner, instant at) const;
-    /// The life that a cut at `at` ended: it was not heard after that, and a later one was, soon.
-    /// Empty while nothing shows that it has ended.
+    /// Returns the life that ended with a cut at `at`: no heartbeat of it arrived afterwards, and
+    /// one of a later life, or another runner at its address, followed soon. Empty while there is
+    /// no such proof.
     [[nodiscard]] std::optional<birth> life_ended_by(const runner_id& runner, instant at) const;
 
 private:
--- a/include/cedarpoint/quarantine/unproved_cuts.h
+++ b/include/cedarpoint/quarantine/unproved_cuts.h
@@ -9,16 +9,19 @@
 
 namespace cedarpoint {
 
-/// Connections to runners that were cut while their addresses went on taking connections: a reset,
-/// or an end of the runner that was back at once or whose listening socket a supervisor keeps. They
-/// wait here until a later life of the runner is heard, or until that would prove nothing any more.
+/// Holds cuts at runners whose addresses accepted connections afterwards. Such a cut is either a
+/// reset of the connection, or a crash of a runner that restarted at once or whose listening socket
+/// is kept open by a supervisor. A cut is held until a later life of the runner proves that it was
+/// a crash, or until it is too old for such a proof.
 class unproved_cuts {
 public:
-    /// Observations that entry daemons report; one that is held already is passed over.
+    /// Adds observations that entry daemons report. Skips those that are already held.
     void add(instant now, const crash_histories& in);
-    /// A runner has answered the request whole at `at`: what was cut before was not its fault.
+    /// Drops earlier cuts of a request that a runner answered completely at `at`: the request did
+    /// not cause them.
     void on_answer(instant at, const request_fingerprint& request);
-    /// Takes out those that ended a life of their runner, and names it in them.
+    /// Removes and returns the cuts that are proved to be crashes, with the life that ended filled
+    /// in.
     [[nodiscard]] crash_histories take_proved(instant now, const runner_lives& lives);
     void clear() { cuts_.clear(); }
 
--- a/src/quarantine/crash_cause.cpp
+++ b/src/quarantine/crash_cause.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// With so many ends it is decided between requests that were together at each of them.
+/// From this many crashes on, a request is quarantined even if another one has as many.
 constexpr int crashes_to_end_a_tie = 5;
 
 duration time_in_flight(const crash_history& in)
@@ -26,7 +26,8 @@
     });
 }
 
-/// Another request that explains some of the same ends and has been at as many.
+/// Returns true if another request shares a crash with `request` and was in flight during at least
+/// as many crashes.
 bool has_rival(const crash_ledger& ledger, const request_fingerprint& request,
                const std::set<request_fingerprint>& known)
 {
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -8,15 +8,17 @@
 namespace cedarpoint {
 namespace {
 
-/// Two daemons' times of one event differ by this much at most, once they are on one clock
-/// (`core/peer_clock.h`); the same for two events that one daemon reads in one turn of its loop.
+/// Largest difference between the times that two daemons give for one event, after conversion to
+/// one clock (`core/peer_clock.h`). Also covers two events that one daemon reads in the same
+/// iteration of its event loop.
 constexpr duration clock_error = milliseconds{20};
 
-/// Without the time of the connection: a request that is sent within this time of an end may have
-/// gone into a kept connection to the process that ended.
+/// Used if the time of the connection is unknown: a request that is sent within this time after a
+/// crash may have used a kept-alive connection to the crashed process.
 constexpr duration stale_send_time = milliseconds{500};
 
-/// Kept for each request. Those that follow each other decide; the others tell requests apart.
+/// Crashes kept for each request. Crashes that follow one another are counted for the quarantine;
+/// the others are kept to distinguish the request from those in flight beside it.
 constexpr std::size_t most_crashes = 32;
 
 instant latest_change(const crash_history& in)
@@ -30,8 +32,8 @@
 
 using crash_pointers = std::vector<const crash_observation*>;
 
-/// The most that follow each other: the request was sent to each runner after the one before had
-/// ended.
+/// Returns the longest sequence in which the request was sent to each runner after the previous
+/// runner had ended.
 crash_pointers find_sequence(crash_pointers crashes)
 {
     std::sort(crashes.begin(), crashes.end(),
@@ -45,7 +47,8 @@
     return out;
 }
 
-/// Keeps a bounded number, and of them the longest sequence.
+/// Removes one crash if there are more than `most_crashes`, preferably one that is not part of the
+/// longest sequence.
 void drop_surplus(std::vector<crash_observation>& crashes)
 {
     if (crashes.size() <= most_crashes) {
@@ -62,14 +65,15 @@
     crashes.erase(spare == crashes.end() ? std::prev(crashes.end()) : spare);
 }
 
-/// Answers to requests under which no end is known go first: many requests are cut and answered.
+/// Eviction order. Requests without a crash are evicted first: many requests lose a connection and
+/// are answered later.
 bool goes_before(const crash_history& one, const crash_history& other)
 {
     return std::pair{!one.crashes.empty(), latest_change(one)} <
            std::pair{!other.crashes.empty(), latest_change(other)};
 }
 
-/// The runner took a connection of `later` after it had ended in `earlier`.
+/// Returns true if the runner accepted the connection of `later` after it had ended in `earlier`.
 bool is_of_later_life(const crash_observation& later, const crash_observation& earlier)
 {
     return later.connected_at ? *later.connected_at >= earlier.ended_at + clock_error
@@ -84,7 +88,8 @@
         return false;
     }
     if (one.is_proved_by_life || other.is_proved_by_life) {
-        // Connections that were made while the runner was away are cut as well.
+        // Connections that were made while the runner was restarting are cut as well, so the time
+        // of the connection does not distinguish the crashes.
         return one.life == other.life;
     }
     return is_same_observation(one, other) ||
@@ -119,7 +124,9 @@
         drop_surplus(own.crashes);
     }
     else if (known->daemon == in.daemon) {
-        *known = std::move(in); // the crashes of one report are in order among themselves
+        // Times within one report are consistent with one another, so the latest report replaces
+        // the times of an earlier one.
+        *known = std::move(in);
     }
     drop_oldest();
 }
--- a/src/quarantine/crash_messages.cpp
+++ b/src/quarantine/crash_messages.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Longest age that is taken as told; more could overflow the clock.
+/// Larger ages are clamped to this one, so that the subtraction from the clock can't overflow.
 constexpr std::uint64_t longest_age_ms = std::uint64_t{1} << 40;
 
 std::uint64_t to_age(instant now, instant at)
--- a/src/quarantine/crash_witness.cpp
+++ b/src/quarantine/crash_witness.cpp
@@ -8,20 +8,21 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests that a daemon remembers as suspected: some times what is in flight at a few runners.
+/// Suspected requests that a daemon keeps: several times the number in flight at a few runners.
 constexpr std::size_t most_requests = 256;
 
-/// Cuts at one runner whose check is under way; more than a runner takes at once.
+/// Cuts kept for one runner while its check is under way; more than the requests that a runner
+/// processes concurrently.
 constexpr std::size_t most_unchecked = 128;
 
-/// Without an answer of the leader for this long, a daemon decides by what it saw itself.
+/// If the leader has not answered for this long, a daemon decides by its own observations.
 constexpr duration leader_patience = seconds{1};
 
-/// Cuts at runners whose addresses go on taking connections: what a reset of all connections
-/// breaks.
+/// Cuts kept that are not proved to be crashes: enough for a reset of all of the daemon's
+/// connections.
 constexpr std::size_t most_unproved = 256;
 
-/// A later life of a runner proves nothing of a cut that lies further back.
+/// A later life of a runner doesn't prove that a cut longer ago than this was a crash.
 constexpr duration longest_unproved = seconds{10};
 
 } // namespace
@@ -155,7 +156,7 @@
 {
     const int crashes = count(request);
     if (crashes == 0) {
-        return true; // cuts alone show nothing
+        return true; // cuts alone don't prove a crash
     }
     const auto unchecked =
         std::count_if(unchecked_.begin(), unchecked_.end(), [&](const auto& at_runner) {
@@ -178,7 +179,9 @@
 
 void crash_witness::on_confirmed(instant now, std::uint64_t term, instant asked_at)
 {
-    leader_heard_at_ = asked_at; // an answer may have waited while the machine was suspended
+    // The time of the report, because the answer may have been read late, after the machine was
+    // suspended.
+    leader_heard_at_ = asked_at;
     const bool is_new_term = std::exchange(term_, term) != term;
     for (auto& each : cuts_) {
         each.is_confirmed =
@@ -186,7 +189,7 @@
     }
     if (is_new_term) {
         for (const auto& [request, history] : own_.histories()) {
-            changed_at_[request] = now; // a new leader knows nothing of it
+            changed_at_[request] = now; // a new leader has none of the observations
         }
         return;
     }
--- a/src/quarantine/quarantine_controller.cpp
+++ b/src/quarantine/quarantine_controller.cpp
@@ -8,10 +8,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests of the whole fleet that are remembered as suspected.
+/// Suspected requests that are kept for the whole fleet.
 constexpr std::size_t most_requests = 256;
 
-/// An order whose entry in the log may be lost is given again after this.
+/// An order is repeated after this time, because its log entry may have been lost.
 constexpr duration order_interval = seconds{1};
 
 } // namespace
@@ -103,7 +103,8 @@
         out[request] = 0;
     }
     for (const auto& [request, history] : ledger_.histories()) {
-        // Below what quarantines: that is decided with the log.
+        // Below the quarantine threshold: the quarantine takes effect only once the replicated log
+        // holds it.
         if (const int crashes = ledger_.count(request, quarantined); crashes > 0) {
             out[request] = std::min(crashes, crashes_to_quarantine - 1);
         }
--- a/src/quarantine/request_fingerprint.cpp
+++ b/src/quarantine/request_fingerprint.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::size_t half_digits = 16;
 
-/// The length goes first, so that no two inputs are the same bytes with another border.
+/// Hashes the length first, so that inputs that differ only in the boundaries between fields have
+/// different hashes.
 void add_field(XXH3_state_t& state, std::string_view field)
 {
     const std::uint64_t size = field.size();
--- a/src/quarantine/runner_lives.cpp
+++ b/src/quarantine/runner_lives.cpp
@@ -7,14 +7,16 @@
 namespace cedarpoint {
 namespace {
 
-/// Lives of one runner that are remembered: what runners that end several times a second begin
-/// while a cut waits for its proof.
+/// Lives kept for each runner: enough for a runner that restarts several times a second while a cut
+/// waits for its proof.
 constexpr std::size_t most_lives = 32;
 
-/// A heartbeat that comes so soon after a cut was on its way when the runner ended.
+/// A heartbeat that arrives within this time after a cut may have been sent before the runner
+/// ended.
 constexpr duration heartbeat_transit = milliseconds{50};
 
-/// A runner that is heard again later than this after a cut may have ended at any time between.
+/// If the next life is seen later than this after a cut, the runner may have ended at any time in
+/// between, so the cut is not proved to be a crash.
 constexpr duration longest_return = seconds{10};
 
 bool is_soon(instant at, instant heard)
--- a/src/quarantine/unproved_cuts.cpp
+++ b/src/quarantine/unproved_cuts.cpp
@@ -7,10 +7,10 @@
 namespace cedarpoint {
 namespace {
 
-/// What is in flight at a few runners, over all entry daemons.
+/// Enough for the requests of all entry daemons in flight at a few runners.
 constexpr std::size_t most_cuts = 1024;
 
-/// Longer than a runner takes to come back and be heard; see `runner_lives`.
+/// Longer than a runner takes to restart and send a heartbeat; see `runner_lives`.
 constexpr duration longest_wait = seconds{12};
 
 } // namespace
