--- a/include/cedarpoint/rate_limits/permit_allocator.h
+++ b/include/cedarpoint/rate_limits/permit_allocator.h
@@ -14,21 +14,24 @@
 
 namespace cedarpoint {
 
-/// Divides the rates that runners have named among entry daemons. Soft state of the leading control
-/// daemon, begun anew with each term: a new leader learns the limits from the daemons' reports.
+/// Divides the rate limits that runners have named among entry daemons. This is soft state of the
+/// leading control daemon that is cleared at the start of each term; a new leader learns the limits
+/// from the daemons' reports.
 ///
-/// A rate is not divided evenly: it may be lower than the number of daemons, and a bucket of one
-/// request at each would be more than the runner takes. The leader issues whole permits at the
-/// rate that is allowed, each to one daemon, drawn by how many requests the daemons could have sent
-/// there lately. A permit lasts less than a second (`send_permits`); one that expires unused is
-/// issued anew. Permits that may be in use at a time are bounded, so the arrivals of a window of
-/// some seconds are: by those, and by the rate.
+/// A rate is not divided into equal shares: it may be lower than the number of daemons, and a token
+/// bucket of one request at each daemon would already exceed it. Instead the leader issues whole
+/// permits at the allowed rate, each to one daemon. Daemons are drawn at random, weighted by the
+/// number of requests that each could recently have sent to the runner. A permit is valid for less
+/// than a second (`send_permits`); one that expires unused is issued again. The number of
+/// outstanding permits is bounded. This bound and the rate together bound the requests that arrive
+/// within any window of a few seconds.
 class permit_allocator {
 public:
-    /// Begins anew; `seed`: of the draws.
+    /// Drops all limits and seeds the random draws.
     void clear(std::uint64_t seed);
     void on_report(instant now, const daemon_id& from, const rate_limit_sightings& in);
-    /// The limits that hold, each with the permits issued to the daemon since its latest report.
+    /// Returns the limits in force, each with the permits issued to the daemon since the previous
+    /// call for it.
     [[nodiscard]] std::map<runner_id, permit_grant> take_grants(instant now, const daemon_id& to);
     void forget(const runner_id& runner) { limits_.erase(runner); }
 
@@ -36,7 +39,7 @@
     struct share {
         instant reported_at;
         decaying_count wanted;
-        std::uint32_t permits = 0; ///< issued and not told yet
+        std::uint32_t permits = 0; ///< issued to the daemon and not sent to it yet
     };
     struct batch {
         instant issued_at;
@@ -44,14 +47,16 @@
     };
     struct limit {
         rate_limit_record record;
-        double budget = 0; ///< permits that may be issued; the fraction counts
-        instant filled_at;
-        std::deque<batch> open; ///< what was issued and may still be used
+        double budget = 0;      ///< permits that may be issued, including a fraction of one
+        instant filled_at;      ///< when `budget` was last increased by the rate
+        std::deque<batch> open; ///< permits that were issued and may still be used, oldest first
         std::map<daemon_id, share> shares;
 
+        /// Returns the upper bound of `budget`.
         [[nodiscard]] double most_kept(instant now) const;
+        /// Returns how many more permits may be open.
         [[nodiscard]] double room(instant now) const;
-        /// So many of the open ones can't be used any more.
+        /// Removes `count` open permits, oldest first: they were used or have expired.
         void close(std::uint32_t count);
     };
 
--- a/include/cedarpoint/rate_limits/send_permits.h
+++ b/include/cedarpoint/rate_limits/send_permits.h
@@ -14,62 +14,66 @@
 
 namespace cedarpoint {
 
-/// How a daemon makes permits of its own.
+/// How a daemon issues permits to itself while it has no leader.
 struct own_permit_options {
-    /// The part of a rate that daemons without a leader use together.
+    /// Fraction of a rate limit that daemons without a leader use together.
     double used_part = 0.5;
-    std::size_t daemons = 0; ///< that share each rate; 0: not known yet, then none are made
-    std::uint64_t seed = 0;  ///< of the draw that puts them at times of their own
+    /// Number of daemons that share each rate; 0 while it is unknown: then no permits are issued.
+    std::size_t daemons = 0;
+    std::uint64_t seed = 0; ///< for the random times at which the permits are issued
 };
 
 /// One daemon's permits to send requests to runners that have named a rate limit. A limit holds for
-/// all daemons together, so from the answer that names it on, nothing is sent there without a
-/// permit; the others learn of it from the leader.
+/// all daemons together. Once an answer has named one, the daemon sends nothing to the runner
+/// without a permit; the other daemons learn of the limit from the leader.
 ///
-/// Permits come from the leader (`permit_allocator`). While no leader speaks of the limit, the
-/// daemon makes its own: its even part of the rate, at times that don't fall together with other
-/// daemons'. Where there may be a leader for the rest of them, only a part of the rate is used so.
+/// Permits come from the leader (`permit_allocator`). While no leader reports the limit, the daemon
+/// issues its own permits for an equal share of the rate, starting at a random time so that the
+/// daemons don't send together. They use only a part of the rate (`used_part`), because the other
+/// daemons may still have a leader that issues permits for it.
 class send_permits {
 public:
     explicit send_permits(own_permit_options options) : options_{options}, random_{options.seed} {}
 
-    /// An answer came at `now` to a request sent at `sent_at`. True if it changes whether the
-    /// runner is limited, or its rate.
+    /// Records the limit in an answer, received at `now`, to a request sent at `sent_at`. Returns
+    /// true if the answer changes whether the runner is limited, or its rate.
     bool on_answer(instant now, const runner_id& runner, const rate_limit_reading& in,
                    instant sent_at);
-    /// The leader's answer to the report that was made at `asked_at`: all limits that it knows.
+    /// Takes all limits in force from the leader's answer to the report made at `asked_at`.
     void on_grants(instant asked_at, const std::map<runner_id, permit_grant>& in);
     void set_daemons(std::size_t count) { options_.daemons = count; }
 
-    /// True if a request may be sent to the runner now. If it is limited, counts one that could go
-    /// there: the leader issues permits by these counts.
+    /// Returns true if a request may be sent to the runner now. If the runner is limited, counts a
+    /// request that could be sent there; the leader distributes permits by these counts.
     [[nodiscard]] bool may_send(instant now, const runner_id& runner);
-    /// A request is sent to the runner: takes a permit.
+    /// Records that a request was sent to the runner, which uses a permit.
     void on_sent(instant now, const runner_id& runner);
 
-    /// True if requests to the runner need permits.
+    /// Returns true if requests to the runner need permits.
     [[nodiscard]] bool is_limited(const runner_id& runner) const
     {
         return limits_.contains(runner);
     }
-    /// The rate that it named; only for one that is limited.
+    /// Returns the rate that the runner named; the runner must be limited.
     [[nodiscard]] request_rate rate_of(const runner_id& runner) const;
     [[nodiscard]] std::size_t count_limited() const { return limits_.size(); }
-    /// What to report to the leader; counts are reported once.
+    /// Returns the report to the leader, and resets the counts in it.
     [[nodiscard]] rate_limit_sightings take_observations(instant now);
 
 private:
     struct batch {
         instant expires_at;
         std::uint32_t count = 0;
-        bool of_leader = false; ///< it issues those anew that expire
+        bool of_leader = false; ///< issued by the leader, which issues expired ones again
     };
     struct limit {
-        rate_limit_record record;           ///< from answers to this daemon
-        std::optional<request_rate> told;   ///< by the leader
-        instant leader_heard_at;            ///< it spoke of the limit, or was first asked to
+        rate_limit_record record;         ///< from answers to this daemon
+        std::optional<request_rate> told; ///< by the leader
+        /// When the latest report was made whose answer contains the limit; before that, when this
+        /// daemon received the first answer that names it.
+        instant leader_heard_at;
         std::deque<batch> permits;          ///< soonest to expire first
-        std::optional<instant> next_own_at; ///< of the next permit of its own; empty: none is due
+        std::optional<instant> next_own_at; ///< when to issue the next own permit
         std::uint32_t wanted = 0;
         std::uint32_t used = 0;
         std::uint32_t unused = 0;
--- a/src/rate_limits/permit_allocator.cpp
+++ b/src/rate_limits/permit_allocator.cpp
@@ -8,26 +8,27 @@
 namespace cedarpoint {
 namespace {
 
-/// A daemon that was silent for this long gets no permits; those that it was not told are void.
+/// A daemon that has not reported for this long gets no permits. Permits issued to it that were not
+/// sent yet are dropped.
 constexpr duration share_lifetime = milliseconds{900};
 
-/// Permits that are not issued for want of requests are kept for this long, and some are at any
-/// rate.
+/// The budget of permits holds at most what accrues at the allowed rate in this time, but no less
+/// than the minimum below.
 constexpr double kept_seconds = 0.4;
 constexpr double least_kept = 2;
 
-/// A permit may be used for no longer than this after it was issued: it is told with the daemon's
-/// next report, and lasts less than a second from there.
+/// Upper bound for the time from issuing a permit to its use: it is sent in the answer to the
+/// daemon's next report, and is valid for less than a second from then on.
 constexpr duration open_time = milliseconds{1200};
-/// Permits that may be open beside those that come with the rate in that time: where each daemon
-/// has few requests, several must have a permit for one to use it.
+/// Permits that may be open in addition to those that accrue at the rate in `open_time`. If each
+/// daemon has few requests, several daemons must hold a permit for one of them to use it.
 constexpr double open_beside = 2.5;
 
-/// Below this, in requests of about the latest second, a daemon has no use for a permit.
+/// A daemon with a lower demand gets no permits; in requests over about the last second.
 constexpr double least_wanted = 0.05;
 
-/// The record of a limit that is over is kept for this long, so that a report which was on its way
-/// does not bring the limit back.
+/// The record of a limit that is over is kept for this long, so that a delayed report does not
+/// reinstate the limit.
 constexpr duration over_kept = seconds{10};
 
 rate_limit_record record_of(instant now, const rate_limit_observation& in)
@@ -75,7 +76,7 @@
 
 void permit_allocator::take(instant now, const rate_limit_observation& in, limit& into)
 {
-    fill(now, into); // what has come up to now has come at the rate before
+    fill(now, into); // accrue up to now at the previous rate
     const auto before = into.record.rate();
     into.record.merge(now, record_of(now, in));
     if (into.record.rate() < before) {
--- a/src/rate_limits/rate_limit.cpp
+++ b/src/rate_limits/rate_limit.cpp
@@ -8,7 +8,8 @@
 namespace cedarpoint {
 namespace {
 
-/// After a limit has ended the rate begins at this one, if it was lower, and doubles in this time.
+/// After a limit has ended, the allowed rate starts at the limit, or at this rate if the limit was
+/// lower. It doubles every `doubling_time`, and becomes unlimited after `growing_time`.
 constexpr request_rate first_rate_after_end{1};
 constexpr duration doubling_time = milliseconds{500};
 constexpr duration growing_time = seconds{3};
--- a/src/rate_limits/send_permits.cpp
+++ b/src/rate_limits/send_permits.cpp
@@ -6,11 +6,12 @@
 namespace cedarpoint {
 namespace {
 
-/// A permit is void after this, counted from the report that it answers: long enough for a request
-/// to come that can use it, short enough that unused ones of several daemons don't add up.
+/// Validity of a permit, counted from the report that the leader answers with it: long enough for a
+/// request to arrive that can use it, short enough that unused permits of several daemons don't add
+/// up to a burst.
 constexpr duration permit_lifetime = milliseconds{800};
 
-/// Without a word of the leader for this long, a daemon makes permits of its own.
+/// If the leader has not reported the limit for this long, the daemon issues its own permits.
 constexpr duration leader_patience = seconds{1};
 
 } // namespace
@@ -57,7 +58,7 @@
         }
     }
     std::erase_if(limits_, [&](const auto& each) {
-        // The leader could not know yet what this daemon has heard since it asked.
+        // A limit that this daemon learned of after its report can't be in the leader's answer yet.
         const auto named_at = each.second.record.named_at();
         return !in.contains(each.first) && (!named_at || *named_at < asked_at);
     });
@@ -155,7 +156,7 @@
         return;
     }
     if (!of.record.named_at() && of.told) {
-        of.record.on_named(now, *of.told, of.leader_heard_at); // as the leader has said
+        of.record.on_named(now, *of.told, of.leader_heard_at); // known only from the leader
     }
     const auto interval = own_interval(now, of);
     const bool rested = of.next_own_at && *of.next_own_at + permit_lifetime < now;
