--- a/include/cedarpoint/runner_signals/answer_signals.h
+++ b/include/cedarpoint/runner_signals/answer_signals.h
@@ -8,11 +8,11 @@
 
 namespace cedarpoint {
 
-// The one place that turns the head of a runner's answer into what it says of the runner itself,
-// whatever becomes of the request. What concerns the connection alone (`Connection`, `Keep-Alive`)
-// is read where connections are kept.
+// Parses the signals in the head of a runner's answer: what it says about the state of the runner,
+// independent of the result of the request. Headers that concern only the connection (`Connection`,
+// `Keep-Alive`) are parsed with the connection (`io/runner_connection.h`).
 
-/// The values of the headers in which a runner speaks of itself.
+/// The status of an answer, and the values of the headers that carry signals.
 struct signal_headers {
     int status = 0;
     std::vector<std::string_view> rate_limit;
@@ -20,27 +20,28 @@
     std::vector<std::string_view> leaving;
 };
 
-/// What a runner says of whether it leaves.
+/// The header by which a runner signals that it is leaving.
 enum class leave_reading {
     absent,
     leaving,
-    unreadable ///< the header is there with a value that has no meaning; it changes nothing
+    unreadable ///< the header has an undefined value, which is ignored
 };
 
-/// What the head of an answer says of its runner.
+/// The signals in the head of an answer.
 struct answer_signals {
-    /// Another runner than the expected one answered, so that the rest says nothing of that one.
+    /// True if a runner other than the expected one answered. Then the other members are not set,
+    /// because they would not apply to the expected runner.
     bool is_of_other_runner = false;
     rate_limit_reading rate_limit;
     pause_reading pause;
     leave_reading leave = leave_reading::absent;
 
-    /// Something is said that can't be read.
+    /// Returns true if one of the signals has an invalid value.
     [[nodiscard]] bool has_unreadable() const;
     [[nodiscard]] bool asks_for_pause() const { return pause.kind == pause_reading::kind_t::asked; }
 };
 
-/// What of an answer's signals was not known before.
+/// Which signals of an answer were not known before.
 struct signal_news {
     bool rate_limit = false;
     bool leave = false;
--- a/include/cedarpoint/runner_signals/pause_reading.h
+++ b/include/cedarpoint/runner_signals/pause_reading.h
@@ -7,25 +7,24 @@
 
 namespace cedarpoint {
 
-/// The longest pause that is obeyed. A runner that asks for more has a fault or will not come back
-/// in this life; until an operator has looked at it, each daemon tries it once in this time.
+/// Longer pauses are shortened to this. A runner that asks for more is faulty or will not recover
+/// without a restart; until an operator intervenes, each daemon tries it once per this time.
 inline constexpr duration longest_pause = std::chrono::hours{1};
 
-/// What the Retry-After headers of a 503 say: how long the runner wants no request from this
-/// daemon.
+/// The Retry-After headers of a 503: how long the runner asks this daemon to send it no requests.
 struct pause_reading {
     enum class kind_t {
-        absent,    ///< no pause is asked for
-        asked,     ///< one is, of `time`
-        unreadable ///< something is said that is no time in seconds; it changes nothing
+        absent,    ///< the answer asks for no pause
+        asked,     ///< the answer asks for a pause of `time`
+        unreadable ///< the value is not a time in seconds; it is ignored
     };
     kind_t kind = kind_t::absent;
     duration time{}; ///< above 0, at most `longest_pause`
 };
 
-/// `values`: of each Retry-After header, in seconds with or without a fraction, or a list of them.
-/// Of several readable ones the longest holds. A date is not read: the clocks of the day of the two
-/// machines may differ by more than a pause lasts.
+/// `values`: the value of each Retry-After header, in seconds with or without a fraction, or a
+/// comma-separated list of these. The longest valid one is used. Dates are not supported: the
+/// wall clocks of the two machines may differ by more than the length of a pause.
 [[nodiscard]] pause_reading read_pause(const std::vector<std::string_view>& values);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/runner_signals/send_holds.h
+++ b/include/cedarpoint/runner_signals/send_holds.h
@@ -10,39 +10,43 @@
 
 namespace cedarpoint {
 
-/// Why a runner may be sent nothing now.
+/// Why a daemon must not send requests to a runner at present.
 enum class send_hold {
     none,
-    paused, ///< it has asked this daemon for a pause
-    leaving ///< it has said that it leaves
+    paused, ///< the runner has asked this daemon for a pause
+    leaving ///< the runner has signalled that it is leaving
 };
 
-/// Runners that this daemon sends nothing to, because they have said so in their answers. A hold is
-/// no preference among targets: it stands when all others are full, and also for a request that was
-/// on its way to the runner when the answer came. Soft state of one daemon.
+/// Runners to which this daemon sends no requests because of signals in their answers. A hold is
+/// not a mere preference among targets: it applies even if all other targets are full, and also to
+/// a request that is waiting for its connection to the runner when the answer arrives. This is soft
+/// state of one daemon.
 ///
-/// A pause is asked of this daemon alone, and only its time ends it: neither a later answer with a
-/// shorter one or none, nor the runner's absence from the view. A leave is true for all daemons and
-/// lasts as long as the runner's life, whatever its heartbeats still say. A new life under the same
-/// id owes nothing of either.
+/// A pause applies to this daemon alone and ends only when its time has passed. A later answer with
+/// a shorter pause or none does not end it, nor does the runner's absence from the view. A leave
+/// applies to all daemons and lasts for the rest of the runner's life, even if its heartbeats
+/// contradict it. A life is one run of a runner's process under the runner's id; a new life
+/// inherits neither hold.
 class send_holds {
 public:
-    /// An answer that came at `now` from `runner` in its life `life` asks for a pause of `time`.
+    /// Records that an answer, received at `now` from `runner` in its life `life`, asks for a pause
+    /// of `time`.
     void on_pause(instant now, const runner_id& runner, birth life, duration time);
-    /// An answer says that the runner leaves. True if that was not known.
+    /// Records that an answer signals that the runner is leaving. Returns true if that is new.
     bool on_leaving(instant now, const runner_id& runner, birth life);
-    /// The runner is known to be in this life.
+    /// Records the current life of the runner.
     void on_life(instant now, const runner_id& runner, birth life);
-    /// The view shows the runners in these lives.
+    /// Records the lives of all runners in a new view of the fleet.
     void on_lives(instant now, std::map<runner_id, birth> lives);
 
-    /// For runners whose lives are not told: one that was not there may be back in a new one.
+    /// Drops a leave. For callers that don't know the lives of runners: a runner that was absent
+    /// may have returned in a new life.
     void forget_leave(const runner_id& runner);
 
     [[nodiscard]] send_hold find(instant now, const runner_id& runner) const;
-    /// The end of the runner's pause; empty if it is not paused.
+    /// Returns the end of the runner's pause; empty if it is not paused.
     [[nodiscard]] std::optional<instant> paused_until(instant now, const runner_id& runner) const;
-    /// The runners that leave, in the lives that said so.
+    /// Returns the leaving runners, with the lives that are ending.
     [[nodiscard]] std::map<runner_id, birth> leaving() const;
     [[nodiscard]] std::size_t count_paused(instant now) const;
     [[nodiscard]] std::size_t count_leaving() const;
@@ -50,10 +54,11 @@
 private:
     struct hold {
         birth life;
-        instant paused_at; ///< when the latest answer came that asked for a pause
+        instant paused_at; ///< when the latest answer that asks for a pause was received
         instant paused_until;
         bool leaving = false;
-        /// Empty while the view shows the runner; from its latest answer on, if that was later.
+        /// When the runner disappeared from the view, or its latest answer with a signal after
+        /// that; empty while the view contains the runner.
         std::optional<instant> absent_since;
     };
 
@@ -61,7 +66,7 @@
     static void begin_life(instant now, birth life, hold& of);
     [[nodiscard]] static bool is_over(instant now, const hold& in);
 
-    std::map<runner_id, birth> lives_; ///< as the view shows them
+    std::map<runner_id, birth> lives_; ///< of the runners in the current view
     std::map<runner_id, hold> holds_;
 };
 
--- a/src/runner_signals/pause_reading.cpp
+++ b/src/runner_signals/pause_reading.cpp
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The longest time in a list of times.
+/// Returns the longest valid time in a comma-separated list, in seconds.
 std::optional<double> read_longest(std::string_view list)
 {
     std::optional<double> out;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Rounded up: a pause never ends before the time that was asked for.
+/// Rounds up, so that a pause never ends before the requested time.
 duration to_pause(double seconds)
 {
     const auto most = std::chrono::duration<double>{longest_pause};
--- a/src/runner_signals/send_holds.cpp
+++ b/src/runner_signals/send_holds.cpp
@@ -6,11 +6,11 @@
 namespace cedarpoint {
 namespace {
 
-/// A new life answers before the view shows it. A pause that was asked for within this time before
-/// may be its own.
+/// Upper bound for the time until the view contains a new life. A pause that was asked for within
+/// this time before may have been asked for by the new life.
 constexpr duration view_delay = seconds{1};
 
-/// A runner that leaves and was out of the view for this long has ended.
+/// A leaving runner that has been absent from the view for this long is taken to have ended.
 constexpr duration forget_after = seconds{60};
 
 } // namespace
@@ -24,7 +24,7 @@
         begin_life(now, latest, out);
     }
     if (out.absent_since) {
-        out.absent_since = now; // it speaks, so it has not ended
+        out.absent_since = now; // the runner answers, so it has not ended
     }
     return out;
 }
@@ -41,7 +41,7 @@
 {
     auto& own = hold_of(now, runner, life);
     if (life < own.life) {
-        return false; // an earlier life has said so
+        return false; // the answer is from an earlier life
     }
     return !std::exchange(own.leaving, true);
 }
@@ -49,7 +49,7 @@
 void send_holds::begin_life(instant now, birth life, hold& of)
 {
     of.life = life;
-    // A runner says in each answer that it leaves: one request is enough to learn it again.
+    // A leaving runner signals this in every answer, so one request is enough to detect it again.
     of.leaving = false;
     if (now - of.paused_at > view_delay) {
         of.paused_until = {};
