--- a/tests/quarantine/crash_ledger_test.cpp
+++ b/tests/quarantine/crash_ledger_test.cpp
@@ -38,13 +38,13 @@
     EXPECT_EQ(count(cause), 3);
     EXPECT_EQ(count(other), 0);
 
-    // The same runner ends again in its next life.
+    // The same runner crashes again after a restart.
     ledger.add(cause, crash("a", 5000, 5050));
     EXPECT_EQ(count(cause), 4);
 }
 
-// Guards against two ends of a runner that is soon back being taken for one: a request that ends
-// its runners is then sent to more of them.
+// Guards against two crashes of a runner that restarts quickly being counted as one, which would
+// let a crashing request reach more runners.
 TEST_F(crash_ledger_test, counts_a_runner_that_is_back_within_a_second_and_ends_again)
 {
     ledger.add(cause, crash("a", 0, 50, "d-1"));
@@ -52,7 +52,8 @@
     EXPECT_EQ(count(cause), 2);
 }
 
-// Guards against the same with reports that are held up: what an end is told by is the connection.
+// Guards against the same failure with delayed reports: crashes are distinguished by the times of
+// the connections that they broke.
 TEST_F(crash_ledger_test, tells_ends_of_one_runner_apart_by_the_connections_that_they_broke)
 {
     const auto crash_of = [](int connected_ms, int sent_ms, int ended_ms, const char* daemon) {
@@ -60,20 +61,21 @@
         out.connected_at = at(connected_ms);
         return out;
     };
-    // Three daemons see the first end; one of them wrote into its connection when it was over.
+    // Three daemons see the first crash; one of them sent on its connection after the crash.
     ledger.add(cause, crash_of(-900, 0, 50, "d-1"));
     ledger.add(cause, crash_of(-20, 10, 51, "d-2"));
     ledger.add(cause, crash_of(-5000, 300, 300, "d-3"));
     EXPECT_EQ(count(cause), 1);
 
-    // It is back after 100 ms, and ends again at once.
+    // The runner is back after 100 ms and crashes again at once.
     ledger.add(cause, crash_of(150, 150, 190, "d-2"));
     EXPECT_EQ(count(cause), 2);
     ledger.add(cause, crash_of(300, 310, 350, "d-1"));
     EXPECT_EQ(count(cause), 3);
 }
 
-// Guards against an end that is reported again, by a message that was held up less, counting twice.
+// Guards against a crash counting twice when it is reported again by a message that was delayed
+// less than the first one.
 TEST_F(crash_ledger_test, counts_an_observation_once_however_late_it_is_told_first)
 {
     auto seen = crash("a", 3000, 3050);
@@ -90,7 +92,7 @@
 
 TEST_F(crash_ledger_test, counts_runners_that_end_together_once)
 {
-    // A rack is lost: the request was in flight at three of its runners.
+    // A rack fails; the request was in flight at three of its runners.
     ledger.add(cause, crash("a", 0, 90));
     ledger.add(cause, crash("b", 20, 91));
     ledger.add(cause, crash("c", 40, 89));
@@ -110,12 +112,12 @@
 
 TEST_F(crash_ledger_test, takes_the_latest_times_of_a_daemon_for_a_crash_that_it_reports_again)
 {
-    // Times travel as ages, and a report that was held up makes them seem later.
+    // Times are sent as ages, so they seem later in a report that was delayed.
     ledger.add(cause, crash("a", 30, 80));
     crash_history whole;
     whole.crashes = {crash("a", 0, 50), crash("b", 50, 100)};
     ledger.merge(cause, whole);
-    EXPECT_EQ(count(cause), 2) << "in order within one report, whatever came before it";
+    EXPECT_EQ(count(cause), 2) << "the times within one report are consistent";
 }
 
 TEST_F(crash_ledger_test, an_answer_clears_a_request_of_what_was_before)
@@ -126,7 +128,7 @@
     EXPECT_EQ(count(cause), 0);
 
     ledger.add(cause, crash("c", 60, 150));
-    EXPECT_EQ(count(cause), 0) << "heard late, and from before the answer";
+    EXPECT_EQ(count(cause), 0) << "reported late, but from before the answer";
     ledger.add(cause, crash("d", 300, 350));
     EXPECT_EQ(count(cause), 1);
 }
--- a/tests/quarantine/crash_witness_test.cpp
+++ b/tests/quarantine/crash_witness_test.cpp
@@ -15,7 +15,7 @@
 
 class crash_witness_test : public testing::Test {
 protected:
-    /// The request was cut at the runner; the check of its address comes 20 ms later.
+    /// Cuts the connection to the runner that had the request in flight.
     void cut(const request_fingerprint& request, const char* runner, int sent_ms, int ended_ms)
     {
         witness.on_cut(request,
@@ -25,6 +25,7 @@
     {
         witness.on_checked(at(ms), runner_id{runner}, refused);
     }
+    /// Cuts the connection; 20 ms later the check of the address is refused.
     void crash(const request_fingerprint& request, const char* runner, int sent_ms, int ended_ms)
     {
         cut(request, runner, sent_ms, ended_ms);
@@ -54,15 +55,15 @@
     EXPECT_TRUE(witness.on_cut(crashing, seen));
     EXPECT_FALSE(witness.on_cut(sound, seen));
     EXPECT_EQ(witness.on_checked(at(70), runner_id{"a"}, true).size(), 2U);
-    EXPECT_TRUE(witness.on_cut(crashing, seen)) << "the next end of it is checked anew";
+    EXPECT_TRUE(witness.on_cut(crashing, seen)) << "the next cut needs a new check";
 }
 
-// Guards against two lives of a runner that is soon back being judged by one check.
+// Guards against one check proving crashes of two lives of a runner that restarts quickly.
 TEST_F(crash_witness_test, takes_a_refused_connection_for_the_end_of_the_latest_life_alone)
 {
     crash_observation seen{runner_id{"a"}, at(0), at(50), {}, request_id{"r"}, at(0)};
     EXPECT_TRUE(witness.on_cut(sound, seen));
-    // It is back after 30 ms, and ends again before the first check is done.
+    // The runner is back after 30 ms and crashes again before the first check is done.
     seen = {runner_id{"a"}, at(90), at(130), {}, request_id{"r"}, at(90)};
     EXPECT_FALSE(witness.on_cut(crashing, seen));
     const auto ended = witness.on_checked(at(150), runner_id{"a"}, true);
@@ -77,13 +78,13 @@
 {
     witness.on_confirmed(at(0), 1, at(0));
     cut(crashing, "a", 0, 50);
-    EXPECT_TRUE(witness.unconfirmed_cuts(at(60)).empty()) << "it is being checked";
+    EXPECT_TRUE(witness.unconfirmed_cuts(at(60)).empty()) << "the check is under way";
     check("a", 70, false);
     EXPECT_EQ(witness.unconfirmed_cuts(at(100)).size(), 1U);
     witness.on_confirmed(at(150), 1, at(100));
     EXPECT_TRUE(witness.unconfirmed_cuts(at(200)).empty());
 
-    // The next leader knows nothing of it.
+    // The next leader does not have the cut.
     witness.on_confirmed(at(300), 2, at(250));
     EXPECT_EQ(witness.unconfirmed_cuts(at(350)).size(), 1U);
     EXPECT_TRUE(witness.unconfirmed_cuts(at(30'000)).empty()) << "too old to be proved";
@@ -97,29 +98,30 @@
     EXPECT_FALSE(witness.is_watching());
     witness.on_answer(at(90), sound);
     EXPECT_TRUE(witness.unconfirmed_cuts(at(100)).empty());
-    EXPECT_TRUE(witness.unconfirmed().empty()) << "the leader did not hear of it";
+    EXPECT_TRUE(witness.unconfirmed().empty()) << "the cut was never reported to the leader";
 
     cut(sound, "b", 200, 250);
     check("b", 270, false);
     EXPECT_EQ(witness.unconfirmed_cuts(at(300)).size(), 1U);
     witness.on_answer(at(400), sound);
-    EXPECT_EQ(witness.unconfirmed().at(sound).answered_at, at(400)) << "the leader heard of it";
+    EXPECT_EQ(witness.unconfirmed().at(sound).answered_at, at(400))
+        << "the cut was reported to the leader";
 }
 
 TEST_F(crash_witness_test, stops_the_retries_of_a_try_under_which_two_runners_ended)
 {
     crash(crashing, "a", 0, 50);
     EXPECT_TRUE(witness.may_retry(crashing));
-    // The second one was cut just now, and is not checked yet.
+    // The connection to a second runner is cut, and its check is still under way.
     cut(crashing, "b", 50, 100);
     EXPECT_FALSE(witness.may_retry(crashing));
 
-    // It was a reset.
+    // The runner accepts connections: the cut was a reset.
     check("b", 120, false);
     EXPECT_TRUE(witness.may_retry(crashing));
 }
 
-// Guards streams of runners that cut their answers and live on.
+// Guards against ending streams whose runners cut their answers but did not crash.
 TEST_F(crash_witness_test, lets_a_try_go_on_after_cuts_of_which_none_is_known_to_be_a_crash)
 {
     cut(sound, "a", 0, 5);
@@ -140,10 +142,10 @@
     crash(crashing, "c", 400, 450);
     EXPECT_TRUE(witness.is_quarantined(at(480), crashing));
 
-    // A leader has the observations of all, and decides.
+    // A leader has the observations of all daemons, so its decision counts.
     witness.on_confirmed(at(500), 1, at(490));
     EXPECT_FALSE(witness.is_quarantined(at(510), crashing));
-    EXPECT_TRUE(witness.is_quarantined(at(1600), crashing)) << "it is lost";
+    EXPECT_TRUE(witness.is_quarantined(at(1600), crashing)) << "the leader is lost";
 }
 
 TEST_F(crash_witness_test, adds_what_others_saw_by_the_leader)
@@ -167,7 +169,8 @@
         cut(sound, runner.c_str(), n * 100, n * 100 + 50);
         check(runner.c_str(), n * 100 + 70, true);
     }
-    EXPECT_FALSE(witness.is_quarantined(at(300), sound)) << "nothing tells it from the other one";
+    EXPECT_FALSE(witness.is_quarantined(at(300), sound))
+        << "both requests were in flight during the same crashes";
     EXPECT_FALSE(witness.may_retry(sound));
     witness.set_shared(at(350), {{crashing, 3}});
     EXPECT_TRUE(witness.may_retry(sound));
@@ -181,7 +184,7 @@
     EXPECT_TRUE(witness.may_retry(sound));
     EXPECT_EQ(witness.unconfirmed().at(sound).answered_at, at(200));
 
-    // One that only others suspect.
+    // A request that only other daemons suspect.
     witness.set_shared(at(350), {{crashing, 1}});
     witness.on_answer(at(300), crashing);
     EXPECT_EQ(witness.unconfirmed().at(crashing).answered_at, at(300));
@@ -197,7 +200,7 @@
     EXPECT_FALSE(witness.is_quarantined(at(360), crashing));
     EXPECT_TRUE(witness.may_retry(crashing));
 
-    // What comes after that counts again, also while the leader still tells that it was lifted.
+    // Later crashes count again, also while the leader still reports the quarantine as lifted.
     crash(crashing, "d", 400, 450);
     crash(crashing, "e", 450, 500);
     witness.set_shared(at(510), {{crashing, 0}, {sound, 1}});
@@ -214,12 +217,12 @@
 {
     witness.on_confirmed(at(0), 1, at(0));
     crash(crashing, "a", 0, 50);
-    witness.on_confirmed(at(80), 1, at(60)); // to a report from before the check
+    witness.on_confirmed(at(80), 1, at(60)); // answers a report made before the check
     EXPECT_EQ(witness.unconfirmed().size(), 1U);
     witness.on_confirmed(at(150), 1, at(100));
     EXPECT_TRUE(witness.unconfirmed().empty());
 
-    // The next leader begins with nothing. Its first answer is to a report that held nothing.
+    // The next leader has no observations. Its first answer is to a report without any.
     witness.on_confirmed(at(300), 2, at(250));
     EXPECT_EQ(witness.unconfirmed().size(), 1U);
     witness.on_confirmed(at(400), 2, at(350));
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a request that ends each runner which runs it being sent to one after the other,
-// by many entry daemons, each of which has seen one or two of the ends.
+// Guards against a request that crashes each runner that runs it being sent to one runner after the
+// other. This happens with many entry daemons if each sees only one or two of the crashes.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -23,18 +23,18 @@
 using testing_support::pass_time;
 using testing_support::platform_runner;
 
-// The promise, from the users' rules: once a request has ended three runners, at most three more
-// arrivals at runners from daemons that have been in touch for this long, ever after.
+// The guarantee to users: once a request has crashed three runners, it arrives at most three more
+// times at runners, over any time, from daemons that have been connected for `contact_time`.
 constexpr std::size_t ends_that_suffice = 3;
 constexpr duration contact_time = seconds{3};
 constexpr std::size_t most_arrivals_after = 3;
 
 constexpr int runner_count = 12;
 
-/// A refusal without an attempt must not wait.
+/// Longest time for a refusal without an attempt.
 constexpr duration at_once = milliseconds{500};
 
-/// Statuses that no sound request may get for what others did.
+/// Status that a sound request must not get because of other requests.
 constexpr int quarantined_status = 429;
 
 const std::string document = R"({"version":1,
@@ -46,20 +46,20 @@
 
 struct site_shape {
     int entry_daemons = 0;
-    int net = 0; ///< of the loopback range; the next ones are this site's as well
+    int net = 0; ///< first of the loopback nets that this site uses, one for each test
 };
 
-// The name is that which the test library looks for.
+// GoogleTest looks up this function by its name.
 void PrintTo( // NOLINT(readability-identifier-naming)
     const site_shape& in, std::ostream* out)
 {
     *out << in.entry_daemons << " entry daemons";
 }
 
-/// What the request with `body` did to all runners.
+/// The effect of one request on all runners.
 struct damage {
-    std::size_t ends = 0;           ///< runners that ended while they ran it
-    std::size_t arrivals_after = 0; ///< that the promise bounds
+    std::size_t ends = 0;           ///< runners that crashed while running the request
+    std::size_t arrivals_after = 0; ///< arrivals that the guarantee bounds
 };
 
 class a_fleet_with_a_crashing_request : public testing::TestWithParam<site_shape> {
@@ -78,7 +78,7 @@
         pass_time(seconds{1});
     }
 
-    /// Callers of one body, on a safe or on an unsafe route.
+    /// Starts callers that all send the same body, on a safe or an unsafe route.
     std::unique_ptr<open_loop_callers> ask(double per_second, const std::string& name,
                                            const std::string& target, const std::string& body)
     {
@@ -88,7 +88,7 @@
             });
     }
 
-    /// Callers whose requests all differ.
+    /// Starts callers whose requests all differ.
     std::unique_ptr<open_loop_callers> ask_sound(double per_second)
     {
         return std::make_unique<open_loop_callers>(
@@ -109,7 +109,7 @@
         }
         std::sort(arrivals.begin(), arrivals.end());
         damage out;
-        out.ends = arrivals.size(); // each ends its runner, or comes while it is ending
+        out.ends = arrivals.size(); // each crashes its runner, or arrives while it is ending
         if (arrivals.size() >= ends_that_suffice) {
             const auto counted_from =
                 arrivals[ends_that_suffice - 1] + runners[0]->time_to_end + contact_time;
@@ -129,12 +129,12 @@
     void expect_promise(const std::string& body) const
     {
         const auto done = damage_of(body);
-        EXPECT_GE(done.ends, ends_that_suffice) << body << " is what it is meant to be";
+        EXPECT_GE(done.ends, ends_that_suffice) << body << " crashes the runners in this test";
         EXPECT_LE(done.arrivals_after, most_arrivals_after)
             << body << ", " << done.ends << " in all";
     }
 
-    /// Tests run side by side, so that each needs addresses of its own.
+    /// Tests run in parallel, so each needs its own addresses.
     [[nodiscard]] static int net_of_this_test()
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
@@ -168,7 +168,7 @@
         EXPECT_LT(callers->results.back().took, at_once);
     }
 
-    // The leader is lost.
+    // The leader fails.
     const auto lost = fleet.leader();
     ASSERT_TRUE(lost.has_value());
     fleet.at(*lost).signal(SIGKILL);
@@ -177,7 +177,7 @@
     expect_promise(repeatable);
     expect_promise(unrepeatable);
 
-    // Every entry daemon is lost, one after the other.
+    // Every entry daemon fails and restarts, one after the other.
     for (int which = fleet_processes::control_count; which < fleet.count(); ++which) {
         fleet.at(which).signal(SIGKILL);
         pass_time(milliseconds{100});
@@ -187,7 +187,7 @@
     expect_promise(repeatable);
     expect_promise(unrepeatable);
 
-    // It pauses, and comes again.
+    // The callers stop, and send the request again after a pause.
     first.reset();
     second.reset();
     pass_time(seconds{10});
@@ -197,8 +197,9 @@
     expect_no_quarantine(*sound);
 }
 
-// Guards against ends of runners whose addresses take connections all along: a supervisor keeps the
-// listening socket, and only the next life's heartbeat tells of the end.
+// Guards against missed crashes of runners whose addresses accept connections all along: a
+// supervisor keeps the listening socket open, so only the heartbeat of the next life shows that the
+// runner crashed.
 TEST_P(a_fleet_with_a_crashing_request, counts_ends_of_runners_whose_port_stays_open)
 {
     for (const auto& runner : runners) {
@@ -213,8 +214,8 @@
     EXPECT_GT(sound->served_share(steady_now() - seconds{2}, steady_now()), 0.95);
 }
 
-// The same runners cut many connections, and end for another reason: that is not the callers'
-// fault.
+// Guards against quarantining a sound request whose connections are cut by runners that crash for
+// another reason.
 TEST_P(a_fleet_with_a_crashing_request, refuses_no_popular_request_at_runners_whose_port_stays_open)
 {
     for (const auto& runner : runners) {
@@ -235,14 +236,14 @@
 
 TEST_P(a_fleet_with_a_crashing_request, keeps_serving_a_popular_request_while_runners_end)
 {
-    // Something else ends the runners; the popular request is in flight at each of them.
+    // The runners crash for another reason while the popular request is in flight at each of them.
     const auto popular = ask(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 3; ++round) {
         for (std::size_t which = 0; which < runners.size(); which += 2) {
             runners[which]->crash();
             pass_time(milliseconds{300});
         }
-        // Several at once, with their rack.
+        // Several crash at once, as if their rack had failed.
         for (std::size_t which = 1; which < 8; which += 2) {
             runners[which]->crash();
         }
@@ -254,7 +255,7 @@
 
 TEST_P(a_fleet_with_a_crashing_request, tells_it_from_the_requests_beside_it)
 {
-    // Ten sound requests are in flight at each runner when the crashing one comes.
+    // Ten sound requests are in flight at each runner when the crashing one arrives.
     for (const auto& runner : runners) {
         runner->answer_time = milliseconds{400};
         runner->slots = 16;
--- a/tests/quarantine/quarantine_api_test.cpp
+++ b/tests/quarantine/quarantine_api_test.cpp
@@ -1,4 +1,4 @@
-// Guards the operator's way to see a quarantined request, and to take the quarantine back.
+// Guards the operator API that lists quarantined requests and lifts a quarantine.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -41,7 +41,7 @@
             .head.status;
     }
 
-    /// The answer of the control daemon that leads.
+    /// Returns the answer of the leading control daemon.
     testing_support::http_answer call_leader(const std::string& method, const std::string& target)
     {
         testing_support::http_answer out;
@@ -77,7 +77,7 @@
     EXPECT_FALSE(list[0].at("crashes")[0].at("runner").get<std::string>().empty());
     EXPECT_FALSE(list[0].at("crashes")[0].at("daemon").get<std::string>().empty());
 
-    // The operator has cured the runners.
+    // The operator has repaired the runners.
     for (const auto& runner : runners) {
         runner->ended_by.clear();
     }
@@ -86,9 +86,9 @@
     EXPECT_EQ(call_leader("POST", lift).head.status, 200);
     EXPECT_TRUE(wait_until([&] { return ask("ends-runners") == 200; }));
     EXPECT_TRUE(listed().empty());
-    EXPECT_EQ(call_leader("POST", lift).head.status, 404) << "it is none any more";
+    EXPECT_EQ(call_leader("POST", lift).head.status, 404) << "no longer quarantined";
 
-    // Under the next leader it stays lifted.
+    // The quarantine stays lifted under the next leader.
     const auto before = site.leader();
     ASSERT_TRUE(before.has_value());
     site.stop_control(*before);
@@ -96,7 +96,7 @@
     EXPECT_EQ(ask("ends-runners"), 200);
     EXPECT_TRUE(listed().empty());
 
-    // It ends runners again, and counts anew.
+    // The request crashes runners again, and is counted from zero.
     for (const auto& runner : runners) {
         runner->ended_by = "ends-runners";
     }
--- a/tests/quarantine/quarantine_controller_test.cpp
+++ b/tests/quarantine/quarantine_controller_test.cpp
@@ -16,7 +16,8 @@
 
 class quarantine_controller_test : public testing::Test {
 protected:
-    /// A daemon reports that a runner ended with these requests in flight, sent `flight_ms` before.
+    /// A daemon reports that a runner crashed with these requests in flight, each sent `flight_ms`
+    /// before.
     void crash(const char* runner, int ended_ms,
                const std::vector<std::pair<request_fingerprint, int>>& in_flight,
                const char* daemon = "d-1")
@@ -53,7 +54,7 @@
     crash("c", 400, {{crashing, 50}}, "d-3");
     EXPECT_EQ(decide(410), requests{crashing});
 
-    // It is ordered again until the log holds it.
+    // The order is repeated until the log holds it.
     EXPECT_EQ(decide(430), requests{});
     EXPECT_EQ(decide(1500), requests{crashing});
     quarantined.insert(crashing);
@@ -61,21 +62,22 @@
     EXPECT_EQ(controller.counts(quarantined).at(crashing), crashes_to_quarantine);
 }
 
-// Guards against a request that comes in several copies at once never being told from one beside
-// it: few of its ends follow each other, and only some of them were kept.
+// Guards against never distinguishing a request that is sent in several copies at once from a sound
+// one in flight beside it: few of its crashes follow one another, and if only these were kept, the
+// two requests would have the same count.
 TEST_F(quarantine_controller_test, tells_a_request_in_many_copies_from_one_that_was_at_fewer_ends)
 {
     crash("a", 381, {{crashing, 369}, {sound, 100}});
     crash("b", 841, {{crashing, 459}, {sound, 100}});
     crash("c", 1167, {{crashing, 375}});
-    EXPECT_EQ(decide(1170), requests{}) << "two of them one after the other";
+    EXPECT_EQ(decide(1170), requests{}) << "only two crashes follow one another";
     crash("d", 1410, {{crashing, 366}, {sound, 100}});
     EXPECT_EQ(decide(1420), requests{crashing});
 }
 
 TEST_F(quarantine_controller_test, decides_in_the_end_whatever_number_of_ends_overlap)
 {
-    // Another request is at each end that is kept first, and then is not seen any more.
+    // Another request is involved in each of the first crashes, and in none of the later ones.
     for (int n = 0; n < 40; ++n) {
         const auto runner = "r" + std::to_string(n);
         crash(runner.c_str(), 1000 + n * 10, {{crashing, 900}, {sound, 900}});
@@ -101,13 +103,13 @@
 
 TEST_F(quarantine_controller_test, finds_two_at_once_and_spares_those_beside_them)
 {
-    // The sound one is sent again into the runners that the others end.
+    // The sound request is retried at runners that the others crash.
     crash("a", 50, {{crashing, 50}, {sound, 20}});
     crash("b", 100, {{crashing, 50}});
     crash("c", 130, {{second_crashing, 60}, {sound, 40}});
     crash("d", 200, {{second_crashing, 60}});
     crash("e", 400, {{crashing, 50}, {sound, 10}});
-    // Both have three, and share two of them: the next crash will tell.
+    // `crashing` and `sound` each have three crashes, two of them shared: the next crash decides.
     EXPECT_EQ(decide(410), requests{});
     EXPECT_EQ(controller.counts(quarantined).at(crashing), crashes_to_quarantine - 1);
     crash("f", 600, {{crashing, 50}});
@@ -126,7 +128,8 @@
         const std::string runner{static_cast<char>('a' + n)};
         crash(runner.c_str(), n * 200 + 50, {{crashing, 30}, {sound, 90}});
     }
-    // Of the two, the one that was in flight for the shorter time; it explains the other's.
+    // The request with the shorter time in flight is chosen, and the crashes no longer count
+    // against the other one.
     EXPECT_EQ(decide(1000), requests{crashing});
 }
 
--- a/tests/quarantine/runner_lives_test.cpp
+++ b/tests/quarantine/runner_lives_test.cpp
@@ -1,4 +1,4 @@
-// Which cuts of connections were ends of runners, by the lives that are heard afterwards.
+// Tests which cut connections are proved to be crashes by later lives of the runner.
 
 #include "cedarpoint/quarantine/quarantine_controller.h"
 #include "cedarpoint/quarantine/runner_lives.h"
@@ -24,13 +24,13 @@
     runner_lives lives;
     EXPECT_TRUE(lives.on_heard(at(0), runner, first));
     EXPECT_FALSE(lives.on_heard(at(1000), runner, first));
-    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), std::nullopt) << "nothing was heard since";
+    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), std::nullopt) << "no heartbeat since the cut";
     EXPECT_TRUE(lives.on_heard(at(2000), runner, second));
     EXPECT_EQ(lives.life_ended_by(runner, at(1500)), first);
 
-    // It was heard after this cut, which so was a reset.
+    // A heartbeat of the same life arrived after this cut, so it was a reset.
     EXPECT_EQ(lives.life_ended_by(runner, at(500)), std::nullopt);
-    // And this one is of the present life.
+    // This cut is in the current life.
     EXPECT_EQ(lives.life_ended_by(runner, at(2500)), std::nullopt);
     EXPECT_EQ(lives.life_at(runner, at(2500)), second);
     EXPECT_EQ(lives.life_at(runner, at(1500)), first);
@@ -66,7 +66,7 @@
 {
     runner_lives lives;
     lives.expect(runner, first);
-    EXPECT_FALSE(lives.on_heard(at(100), runner, first)) << "it lives on";
+    EXPECT_FALSE(lives.on_heard(at(100), runner, first)) << "the runner is in the same life";
     EXPECT_TRUE(lives.on_heard(at(900), runner, second));
     EXPECT_EQ(lives.life_ended_by(runner, at(500)), first);
 }
@@ -99,7 +99,7 @@
 TEST_F(cuts_that_wait_for_proof, count_as_one_end_of_each_life)
 {
     controller.on_cuts(at(120), cut(10, 100));
-    // Retries connect while it is away, and are cut as well; other daemons see the same.
+    // Retries connect while the runner restarts and are cut as well, also those of other daemons.
     controller.on_cuts(at(220), cut(150, 200));
     controller.on_cuts(at(320), cut(250, 300, "d-2"));
     EXPECT_EQ(count(), 0);
@@ -113,7 +113,7 @@
 
 TEST_F(cuts_that_wait_for_proof, count_also_if_they_are_reported_after_the_next_life)
 {
-    controller.on_heard(at(150), runner, second); // it was back at once
+    controller.on_heard(at(150), runner, second); // the runner restarted at once
     EXPECT_EQ(controller.on_cuts(at(300), cut(10, 100)).size(), 1U);
     EXPECT_EQ(count(), 1);
 }
@@ -137,7 +137,7 @@
     EXPECT_EQ(count(), 0);
 }
 
-// Guards sound requests whose connections the network resets.
+// Guards against quarantining sound requests whose connections the network resets.
 TEST_F(cuts_that_wait_for_proof, prove_nothing_while_the_runner_lives_on)
 {
     for (int n = 0; n < 20; ++n) {
--- a/tests/rate_limits/limited_fleet_test.cpp
+++ b/tests/rate_limits/limited_fleet_test.cpp
@@ -1,9 +1,9 @@
-// What was seen: two runners named a limit of 2.1 and 2.8 requests a second; three seconds later
-// they had got 27 and 23 requests in 4 s from the eight entry daemons that they had told.
-// How it came about: the limit was passed on to the callers with the rest of the answer's head, and
-// no daemon read it; and there was nothing by which daemons could keep one rate together.
-// What proved it: arrivals at both runners were the same before and after the naming, at each
-// daemon; with the limit read and divided by the leader, the windows of this test hold.
+// Guards against entry daemons together exceeding the rate limit that a runner names. Two runners
+// named limits of 2.1 and 2.8 requests per second, and three seconds later received 27 and 23
+// requests in 4 s from eight entry daemons that had the limit: daemons passed the header on to the
+// callers without reading it, and had no means of sharing one rate. Arrivals at each daemon were
+// the same before and after the limit was named. The daemons now read the limit, and the leader
+// divides it among them.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -25,14 +25,16 @@
 using testing_support::pass_time;
 using testing_support::platform_runner;
 
-// The promise to a runner in need, from the users' rules.
+// The guarantee to a runner that names a limit, once `first_named_for` has passed: in any `window`
+// the daemons that have had the limit for `told_for` send it at most `allowed_factor` times the
+// requests that the rate allows, plus `allowed_more`.
 constexpr duration window = seconds{4};
 constexpr duration told_for = milliseconds{500};
 constexpr duration first_named_for = seconds{3};
 constexpr double allowed_factor = 1.5;
 constexpr double allowed_more = 5;
 
-/// A refusal is for lack of room that is already known: it must not wait.
+/// Longest time for a refusal when all runners are known to be at their limits.
 constexpr duration at_once = milliseconds{500};
 
 const std::string document = R"({"version":1,
@@ -40,14 +42,14 @@
                "timeoutMs":2000,"service":"shop","maxAttempts":2}],
     "services":[{"name":"shop"}]})";
 
-/// The entry daemon that sent a request: its id begins with the daemon's number.
+/// Returns the entry daemon that sent a request: the request's id begins with its number.
 int sender_of(const std::string& request)
 {
     return std::stoi(request);
 }
 
-/// The most requests in a window at a runner that the rule counts, as a multiple of what a limit
-/// of `rate` allows; windows that end from `from` on.
+/// Returns the highest number of counted requests at a runner in any window that ends at or after
+/// `from`, as a fraction of what the guarantee allows for a limit of `rate`.
 double worst_use(const platform_runner& runner, double rate, instant from)
 {
     std::map<int, instant> told_at;
@@ -74,13 +76,13 @@
 
 struct site_shape {
     int entry_daemons = 0;
-    double limit_of_one = 0; ///< where one runner of three names a limit
-    double limit_of_all = 0; ///< where all three do
+    double limit_of_one = 0; ///< if one runner of three names a limit
+    double limit_of_all = 0; ///< if all three name a limit
     double requests_per_second = 0;
-    int net = 0; ///< of the loopback range; the next one is this site's as well
+    int net = 0; ///< first of the loopback nets that this site uses, one for each test
 };
 
-// The name is that which the test library looks for.
+// GoogleTest looks up this function by its name.
 void PrintTo( // NOLINT(readability-identifier-naming)
     const site_shape& in, std::ostream* out)
 {
@@ -95,7 +97,7 @@
         for (int made = 0; made < 3; ++made) {
             runners.push_back(std::make_unique<platform_runner>(fmt::format("s-{}", made), "shop",
                                                                 fleet.controls()));
-            // Without work the times to answer are chance, and one runner counts as slow by it.
+            // Without this, response times vary at random, and one runner may be ranked as slow.
             runners.back()->answer_time = milliseconds{20};
         }
         ASSERT_TRUE(fleet.put(document));
@@ -114,7 +116,7 @@
                           [&](const auto& each) { return each.at >= from; }));
     }
 
-    /// Tests run side by side, so that each needs addresses of its own.
+    /// Tests run in parallel, so each needs its own addresses.
     [[nodiscard]] static int net_of_this_test()
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
@@ -137,10 +139,10 @@
     pass_time(seconds{9});
     EXPECT_LE(worst_use(limited, rate, named + first_named_for), 1);
     EXPECT_GT(arrivals_since(limited, named + seconds{3}), rate * 6 * 0.4)
-        << "what it takes is used";
+        << "the allowed rate is used";
     EXPECT_GT(callers->served_share(named, steady_now()), 0.98) << "the others take the rest";
 
-    // The leader is lost, and comes back.
+    // The leader fails and restarts.
     const auto lost = fleet.leader();
     ASSERT_TRUE(lost.has_value());
     const auto killed = steady_now();
@@ -151,20 +153,20 @@
     EXPECT_LE(worst_use(limited, rate, killed), 1);
     EXPECT_GT(arrivals_since(limited, killed + seconds{3}), 0) << "under the next leader as well";
 
-    // It names another limit.
+    // The runner names a lower limit.
     const double lower = rate / 2;
     limited.rate_limit = fmt::format("{}", lower);
     const auto changed = steady_now();
     pass_time(seconds{8});
     EXPECT_LE(worst_use(limited, lower, changed + window + told_for), 1);
 
-    // It names none any more.
+    // The runner stops naming a limit.
     limited.rate_limit.clear();
     pass_time(seconds{6});
     const auto even = shape.requests_per_second / 3;
     pass_time(seconds{2});
     const auto got = arrivals_since(limited, steady_now() - seconds{2});
-    EXPECT_GT(static_cast<double>(got), even) << "half of its even share in two seconds";
+    EXPECT_GT(static_cast<double>(got), even) << "half of its equal share in two seconds";
 }
 
 TEST_P(a_limited_fleet, refuses_at_once_what_all_runners_together_do_not_take)
@@ -180,7 +182,7 @@
         EXPECT_LE(worst_use(*runner, rate, named + first_named_for), 1) << runner->id();
         used += static_cast<double>(arrivals_since(*runner, named + seconds{3}));
     }
-    EXPECT_GT(used, rate * 3 * 6 * 0.6) << "what they take is used";
+    EXPECT_GT(used, rate * 3 * 6 * 0.6) << "the allowed rate is used";
     for (const auto& each : callers->results) {
         const bool known = each.ended > named + seconds{2};
         EXPECT_TRUE(each.status == 200 || each.status == 503) << each.status;
@@ -190,8 +192,8 @@
 
 std::vector<site_shape> shapes()
 {
-    return {{8, 2.1, 12, 60, 230}, // one: below one request a second for each daemon; all: above
-            {30, 2.8, 5, 120, 232}};
+    // `limit_of_one` is below one request per second for each daemon, `limit_of_all` above.
+    return {{8, 2.1, 12, 60, 230}, {30, 2.8, 5, 120, 232}};
 }
 
 INSTANTIATE_TEST_SUITE_P(sizes, a_limited_fleet, testing::ValuesIn(shapes()), [](const auto& each) {
--- a/tests/rate_limits/permit_division_test.cpp
+++ b/tests/rate_limits/permit_division_test.cpp
@@ -1,5 +1,5 @@
-// How a runner's rate is divided among entry daemons: many of them, one leader or none, with the
-// time that messages take. No process, no socket, no real time.
+// Simulates the division of a runner's rate among many entry daemons, with or without a leader and
+// with message delays. Uses no processes, no sockets and no real time.
 
 #include "cedarpoint/rate_limits/permit_allocator.h"
 #include "cedarpoint/rate_limits/send_permits.h"
@@ -21,7 +21,7 @@
 constexpr duration message_delay = milliseconds{40};
 constexpr duration window = seconds{4};
 
-/// One runner that names a limit, entry daemons that would send it requests, and a leader.
+/// Simulates one runner that names a limit, entry daemons with requests for it, and a leader.
 class limited_world {
 public:
     limited_world(std::size_t daemons, double wanted_per_second, std::uint64_t seed)
@@ -48,7 +48,7 @@
         }
     }
 
-    /// All daemons hear the limit at once, as if each had just had an answer.
+    /// All daemons learn the limit at once, as if each had just received an answer.
     void name_to_all(double rate)
     {
         named_rate = rate;
@@ -59,7 +59,8 @@
 
     void change_leader() { leader_.clear(random_()); }
 
-    /// The most requests that the runner got in a window that ends since `from`.
+    /// Returns the highest number of requests that the runner received in any window that ends at
+    /// or after `from`.
     [[nodiscard]] std::size_t worst_window(instant from) const
     {
         std::size_t worst = 0;
@@ -77,17 +78,17 @@
         return static_cast<double>(arrivals_.end() - first) /
                std::chrono::duration<double>(now_ - from).count();
     }
-    /// Requests that found no permit since `from`.
+    /// Returns the number of requests since `from` for which there was no permit.
     [[nodiscard]] std::ptrdiff_t held_back_since(instant from) const
     {
         return held_back_.end() - std::lower_bound(held_back_.begin(), held_back_.end(), from);
     }
     [[nodiscard]] instant now() const { return now_; }
 
-    double named_rate = 0;      ///< that the runner names in its answers; 0: none
-    bool leader_speaks = true;  ///< false: it is lost, or all daemons are cut off from it
-    std::size_t cut_off = 0;    ///< the first so many daemons are cut off from it
-    std::size_t busy_share = 1; ///< one in so many daemons has requests
+    double named_rate = 0;      ///< limit that the runner names in its answers; 0: none
+    bool leader_speaks = true;  ///< false: there is no leader, or no daemon can reach it
+    std::size_t cut_off = 0;    ///< number of daemons, from the first, that can't reach the leader
+    std::size_t busy_share = 1; ///< one of this many daemons has requests
 
 private:
     struct daemon {
@@ -183,8 +184,8 @@
 protected:
     std::size_t daemons = std::get<0>(GetParam());
     double rate = std::get<1>(GetParam());
-    /// More than the runner takes, and at least what the users' entry daemons have for a plain
-    /// service: two requests a second each. Not so few that chance decides.
+    /// Requests per second of all daemons: ten times the rate, and at least two for each daemon,
+    /// as users have for a plain service. At least 20, so that random variation does not decide.
     double wanted = std::max({10 * rate, 2.0 * static_cast<double>(daemons), 20.0});
     limited_world world{daemons, wanted, std::get<2>(GetParam())};
 };
@@ -244,12 +245,13 @@
     const auto ended = world.now();
     world.run(seconds{1});
     EXPECT_LE(world.arrivals_per_second(ended), 8 * std::max(rate, 1.0) + 4)
-        << "not from everybody at once";
+        << "the daemons do not all send at once";
     world.run(seconds{7});
     EXPECT_EQ(world.held_back_since(world.now() - seconds{2}), 0);
 }
 
-/// Seeds of each case; by hand: RATE_LIMIT_SEEDS=100 build/cedarpoint_tests --gtest_filter=...
+/// Number of seeds for each case. To run more of them:
+/// RATE_LIMIT_SEEDS=100 build/cedarpoint_tests --gtest_filter=...
 std::uint64_t seed_count()
 {
     const char* text = std::getenv("RATE_LIMIT_SEEDS");
@@ -280,13 +282,14 @@
     it.on_grants(start, {{runner, {{2}, 1}}});
     EXPECT_TRUE(it.may_send(start + milliseconds{100}, runner));
     it.on_sent(start + milliseconds{100}, runner);
-    EXPECT_FALSE(it.may_send(start + milliseconds{100}, runner)) << "the permit is spent";
+    EXPECT_FALSE(it.may_send(start + milliseconds{100}, runner)) << "the permit is used";
     it.on_grants(start + milliseconds{200}, {{runner, {{2}, 1}}});
-    EXPECT_FALSE(it.may_send(start + milliseconds{1000}, runner)) << "the permit is too old";
+    EXPECT_FALSE(it.may_send(start + milliseconds{1000}, runner)) << "the permit has expired";
     named.rate = {1};
     it.on_grants(start + milliseconds{1000}, {{runner, {{2}, 1}}});
     EXPECT_TRUE(it.on_answer(start + milliseconds{1010}, runner, named, start));
-    EXPECT_FALSE(it.may_send(start + milliseconds{1010}, runner)) << "it was issued for more";
+    EXPECT_FALSE(it.may_send(start + milliseconds{1010}, runner))
+        << "the permit was issued for a higher rate";
 }
 
 TEST(a_daemon_with_permits, learns_of_limits_and_of_their_end_from_the_leader)
@@ -305,7 +308,7 @@
     (void)it.on_answer(start + milliseconds{300}, runner, named, start);
     it.on_grants(start + milliseconds{299}, {});
     EXPECT_FALSE(it.may_send(start + milliseconds{310}, runner))
-        << "the leader was asked before the limit was heard of";
+        << "the report was made before this daemon learned of the limit";
     it.on_grants(start + milliseconds{400}, {});
     EXPECT_TRUE(it.may_send(start + milliseconds{410}, runner));
 }
--- a/tests/rate_limits/rate_limit_test.cpp
+++ b/tests/rate_limits/rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// What a runner says of its rate limit, and what follows from several answers.
+// Tests the parsing of a runner's rate limit, and the state derived from several answers.
 
 #include "cedarpoint/rate_limits/rate_limit.h"
 
@@ -32,7 +32,7 @@
     EXPECT_EQ(half_readable.kind, kind_t::named);
     EXPECT_EQ(half_readable.rate, request_rate{4});
     EXPECT_EQ(read_rate_limit({"nan"}).kind, kind_t::unreadable);
-    EXPECT_EQ(read_rate_limit({"1e300"}).kind, kind_t::absent) << "binds nobody";
+    EXPECT_EQ(read_rate_limit({"1e300"}).kind, kind_t::absent) << "too high to be a limit";
 }
 
 TEST(a_rate_limit, ends_only_with_an_answer_that_was_surely_made_later)
@@ -43,14 +43,14 @@
     it.on_named(start, {2}, start + milliseconds{10});
     EXPECT_TRUE(it.is_limited());
     it.on_not_named(start, start + milliseconds{9});
-    EXPECT_TRUE(it.is_limited()) << "its request was sent before the limit was heard of";
+    EXPECT_TRUE(it.is_limited()) << "the request was sent before the limit was received";
     it.on_not_named(start, start + milliseconds{11});
     EXPECT_FALSE(it.is_limited());
     it.on_named(start, {3}, start + milliseconds{20});
-    EXPECT_TRUE(it.is_limited()) << "named anew";
+    EXPECT_TRUE(it.is_limited()) << "named again";
     EXPECT_EQ(it.rate(), request_rate{3});
     it.on_named(start, {9}, start + milliseconds{15});
-    EXPECT_EQ(it.rate(), request_rate{3}) << "heard before the latest";
+    EXPECT_EQ(it.rate(), request_rate{3}) << "received before the latest";
 }
 
 TEST(a_rate_limit, is_the_same_in_whatever_order_it_is_put_together)
@@ -91,7 +91,7 @@
     EXPECT_TRUE(it.is_over(end + seconds{3}));
     it.on_named(end + seconds{4}, {2}, end + seconds{4});
     EXPECT_FALSE(it.is_over(end + seconds{4}));
-    EXPECT_EQ(it.allowed(end + seconds{4}), request_rate{2}) << "named anew";
+    EXPECT_EQ(it.allowed(end + seconds{4}), request_rate{2}) << "named again";
 }
 
 TEST(a_rate_limit, of_nothing_still_lets_a_request_through_now_and_then)
--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that reach a runner within a pause that it has asked an entry daemon for,
-// or after it has told one that it leaves.
+// Guards against an entry daemon sending requests to a runner during a pause that the runner has
+// asked it for, or after the runner has signalled that it is leaving.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -26,8 +26,8 @@
 using testing_support::pausing_runner;
 using testing_support::platform_runner;
 
-/// How long after a runner has said that it leaves a caller's request may still be sent there; from
-/// the users' rules.
+/// Guarantee to users: after a runner's first answer to a daemon that signals a leave, this daemon
+/// sends it no callers' requests later than this.
 constexpr duration drain_time = seconds{2};
 
 constexpr duration at_once = milliseconds{500};
@@ -46,10 +46,10 @@
 
 struct site_shape {
     int entry_daemons = 0;
-    int net = 0; ///< of the loopback range; the next ones are this site's as well
+    int net = 0; ///< first of the loopback nets that this site uses, one for each test
 };
 
-// The name is that which the test library looks for.
+// GoogleTest looks up this function by its name.
 void PrintTo( // NOLINT(readability-identifier-naming)
     const site_shape& in, std::ostream* out)
 {
@@ -66,7 +66,7 @@
         for (int made = 0; made < runner_count; ++made) {
             runners.push_back(std::make_unique<platform_runner>(
                 fmt::format("s-{}", made), service, fleet.controls(), std::uint64_t{1000}));
-            // Some answers come after a later request of the same daemon was turned away.
+            // Some answers arrive after a later request of the same daemon was answered with a 503.
             runners.back()->answer_time = milliseconds{20 + 60 * made};
             runners.back()->slots = 100;
         }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// One runner turns one entry daemon away, for 1.5 to 4 s; each daemon keeps two runners, and
-    /// no request is turned away by both others.
+    /// One runner asks one entry daemon for a pause of 1.5 to 4 s. Each daemon keeps at least two
+    /// runners, and no request gets a 503 from both others.
     void pause_at_random()
     {
         std::uniform_int_distribution<int> any_sender{0, GetParam().entry_daemons - 1};
@@ -101,7 +101,7 @@
         }
     }
 
-    /// For `time`, one daemon after the other is turned away somewhere.
+    /// Passes `time` while runners ask one daemon after the other for pauses.
     void pass_time_with_pauses(duration time)
     {
         const auto until = steady_now() + time;
@@ -129,8 +129,10 @@
         return out;
     }
 
-    /// The requests that a runner got from daemons more than `drain_time` after it had told them
-    /// that it leaves, and those that it got at all after `from`.
+    /// Requests that a runner received after it began to leave at `left`.
+    /// `late`: from a daemon more than `drain_time` after the first request since `left` from that
+    /// daemon, which the runner answered with the signal. `after`: from any daemon, at or after
+    /// `from`.
     struct leave_count {
         int late = 0;
         int after = 0;
@@ -151,7 +153,7 @@
         return out;
     }
 
-    /// Tests run side by side, so that each needs addresses of its own.
+    /// Tests run in parallel, so each needs its own addresses.
     [[nodiscard]] static int net_of_this_test()
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
@@ -163,7 +165,7 @@
     }
 
     int net = net_of_this_test();
-    /// Each request that is turned away takes from the retry budget, as the users' rules have it.
+    /// Each request that is answered with a 503 uses the retry budget, so the ratio is raised to 1.
     static constexpr double retry_ratio = 1;
     fleet_processes fleet{
         {net, GetParam().entry_daemons, fmt::format("paused-{}", net), false, "", retry_ratio}};
@@ -184,13 +186,13 @@
         ASSERT_TRUE(fleet.put(document(version, "shop")));
         pass_time_with_pauses(milliseconds{700});
     }
-    // A runner falls out of the view and comes back.
+    // A runner disappears from the view and returns.
     runners[0]->be_silent(true);
     pass_time_with_pauses(milliseconds{1200});
     runners[0]->be_silent(false);
     pass_time_with_pauses(milliseconds{1500});
 
-    // The leader is lost, and comes back.
+    // The leader fails and restarts.
     const auto lost = fleet.leader();
     ASSERT_TRUE(lost.has_value());
     fleet.at(*lost).signal(SIGKILL);
@@ -199,7 +201,7 @@
     pass_time_with_pauses(seconds{2});
 
     EXPECT_EQ(count_within(), 0);
-    EXPECT_GT(count_asked(), GetParam().entry_daemons) << "it is what it is meant to be";
+    EXPECT_GT(count_asked(), GetParam().entry_daemons) << "enough pauses were asked for";
     EXPECT_GT(callers->served_share(began, steady_now()), 0.99) << "the others serve meanwhile";
 }
 
@@ -223,7 +225,7 @@
         ++refused;
         EXPECT_LT(each.took, at_once);
         const auto passed = std::chrono::duration<double>(steady_now() - each.ended).count();
-        EXPECT_GT(each.retry_after, passed) << "it is not worth coming back sooner";
+        EXPECT_GT(each.retry_after, passed) << "all runners are paused until then";
         EXPECT_LT(each.retry_after, 6);
     }
     EXPECT_GT(refused, GetParam().entry_daemons);
@@ -259,9 +261,9 @@
     pass_time(seconds{3});
     const auto with_leader = count_after_leave(0, left, left + seconds{1});
     EXPECT_EQ(with_leader.late, 0);
-    EXPECT_EQ(with_leader.after, 0) << "those that it has not told have heard it from others";
+    EXPECT_EQ(with_leader.after, 0) << "the other daemons learned of the leave from the leader";
 
-    // Without a leader each daemon knows what it has been told itself, also by a 503.
+    // Without a leader each daemon relies on the answers that it receives itself, including a 503.
     for (int which = 0; which < fleet_processes::control_count; ++which) {
         fleet.at(which).signal(SIGKILL);
     }
@@ -275,7 +277,7 @@
     EXPECT_EQ(count_after_leave(0, left, left + seconds{1}).late, 0);
     EXPECT_GT(callers->served_share(left, steady_now()), 0.99) << "the others serve meanwhile";
 
-    // The next leader hears it from the daemons.
+    // The next leader learns of the leave from the daemons.
     for (int which = 0; which < fleet_processes::control_count; ++which) {
         fleet.start(which, false);
     }
--- a/tests/runner_signals/random_holds_test.cpp
+++ b/tests/runner_signals/random_holds_test.cpp
@@ -1,5 +1,5 @@
-// Random orders of what runners say, new lives, views with and without a runner, and jumps of time:
-// nothing may be sent to a runner within what it has asked for.
+// Checks random sequences of signals from runners, new lives, views with and without a runner, and
+// jumps in time: a runner must be held for as long as it has asked for.
 
 #include "cedarpoint/runner_signals/send_holds.h"
 
@@ -13,7 +13,7 @@
 
 constexpr int seeds = 200;
 constexpr int steps = 400;
-/// A runner that was out of the view for longer counts as ended.
+/// A runner that is absent from the view for longer is taken to have ended.
 constexpr duration forget_after = seconds{60};
 
 class random_holds {
@@ -28,7 +28,7 @@
             pass_time(milliseconds{draw(700)});
             break;
         case 2:
-            pass_time(milliseconds{500 + draw(29'500)}); // a suspension
+            pass_time(milliseconds{500 + draw(29'500)}); // the machine is suspended
             break;
         case 3:
             begin_life(any_runner());
@@ -52,16 +52,16 @@
         runner_id id;
         birth life{1};
         birth viewed{1};
-        instant wants_nothing_until;         ///< this life
+        instant wants_nothing_until;         ///< end of the pause of this life
         instant latest_pause_end;            ///< of any life
-        bool has_left = false;               ///< told since the view showed this life
+        bool has_left = false;               ///< has signalled a leave since this life is viewed
         std::optional<instant> absent_since; ///< from the view
     };
 
     int draw(int below) { return std::uniform_int_distribution<int>{0, below - 1}(random_); }
     runner_facts& any_runner() { return runners_.at(static_cast<std::size_t>(draw(2))); }
 
-    /// It speaks: it has not ended.
+    /// The runner answers, so it has not ended.
     void note_answer(runner_facts& of) const
     {
         if (of.absent_since) {
@@ -85,7 +85,7 @@
         of.has_left = of.has_left || of.viewed == of.life;
     }
 
-    /// The view shows the new life within a second.
+    /// Starts a new life, which the view contains within a second.
     void begin_life(runner_facts& of)
     {
         ++of.life.value;
@@ -115,7 +115,7 @@
         const auto until = now_ + time;
         if (show_at_ <= until) {
             now_ = std::max(now_, show_at_);
-            is_shown_ = true; // a life that begins is heard of
+            is_shown_ = true; // a runner that starts is always added to the view
             show();
         }
         now_ = until;
@@ -142,7 +142,7 @@
     std::mt19937_64 random_;
     instant now_{seconds{100}};
     instant show_at_ = instant::max();
-    bool is_shown_ = true; ///< the first runner, in the view
+    bool is_shown_ = true; ///< whether the view contains the first runner
     std::vector<runner_facts> runners_{{runner_id{"i-0"}}, {runner_id{"i-1"}}};
     send_holds holds_;
 };
--- a/tests/runner_signals/send_holds_test.cpp
+++ b/tests/runner_signals/send_holds_test.cpp
@@ -15,7 +15,7 @@
     return {{runner, life}, {runner_id{"i-2"}, birth{1}}};
 }
 
-// Guards against requests within a pause after something other than its time has ended it.
+// Guards against a pause being ended by anything but its time.
 TEST(a_pause, is_ended_by_its_time_alone)
 {
     send_holds holds;
@@ -23,11 +23,11 @@
     EXPECT_EQ(holds.find(start, runner), send_hold::paused);
     EXPECT_EQ(holds.find(start, runner_id{"i-2"}), send_hold::none);
 
-    // A shorter one.
+    // The runner asks for a shorter pause.
     holds.on_pause(start + seconds{1}, runner, first, milliseconds{100});
     EXPECT_EQ(holds.paused_until(start + seconds{2}, runner), start + seconds{3});
 
-    // The runner is out of the view for a while, and comes back in the same life.
+    // The runner disappears from the view and returns in the same life.
     holds.on_lives(start + seconds{1}, {});
     holds.on_lives(start + seconds{2}, seen(first));
     EXPECT_EQ(holds.find(start + milliseconds{2999}, runner), send_hold::paused);
@@ -77,7 +77,7 @@
     holds.on_lives(start + seconds{400}, seen(second));
     EXPECT_EQ(holds.find(start + seconds{400}, runner), send_hold::none);
     EXPECT_FALSE(holds.on_leaving(start + seconds{401}, runner, first))
-        << "an answer of the earlier life, that was late";
+        << "a late answer from the earlier life";
     EXPECT_EQ(holds.find(start + seconds{401}, runner), send_hold::none);
 }
 
