--- a/include/cedarpoint/quarantine/crash_ledger.h
+++ b/include/cedarpoint/quarantine/crash_ledger.h
@@ -29,9 +29,9 @@
 ///  - A crash that involved a quarantined request does not count against other requests.
 class crash_ledger {
 public:
-    /// Keeps at most `most_requests` requests. Evicts requests without a crash first, then those
+    /// Keeps at most `max_requests` requests. Evicts requests without a crash first, then those
     /// whose latest crash is the oldest.
-    explicit crash_ledger(std::size_t most_requests) : most_requests_{most_requests} {}
+    explicit crash_ledger(std::size_t max_requests) : max_requests_{max_requests} {}
 
     void clear();
     void merge(const request_fingerprint& request, const crash_history& in);
@@ -63,7 +63,7 @@
     void drop_oldest();
 
     crash_histories histories_;
-    std::size_t most_requests_;
+    std::size_t max_requests_;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/quarantine/crash_witness.h
+++ b/include/cedarpoint/quarantine/crash_witness.h
@@ -49,7 +49,7 @@
     /// ask `is_quarantined` or `may_retry`.
     [[nodiscard]] bool is_watching() const
     {
-        return !shared_.empty() || !own_.empty() || !unchecked_.empty();
+        return !leader_counts_.empty() || !own_ledger_.empty() || !unchecked_.empty();
     }
     /// Returns false while no request has crashes or cuts that an answer could clear.
     [[nodiscard]] bool needs_answers() const { return is_watching() || !cuts_.empty(); }
@@ -60,7 +60,7 @@
     /// crashes here once there is at least one crash.
     [[nodiscard]] bool may_retry(const request_fingerprint& request) const;
     [[nodiscard]] std::size_t count_quarantined() const { return quarantined_.size(); }
-    [[nodiscard]] std::size_t count_suspected() const { return shared_.size(); }
+    [[nodiscard]] std::size_t count_suspected() const { return leader_counts_.size(); }
 
     /// Returns the crashes and answers that the leader of the current term has not confirmed.
     [[nodiscard]] crash_histories unconfirmed() const;
@@ -81,22 +81,22 @@
         request_fingerprint request;
         crash_observation crash;
         instant checked_at;
-        bool is_told = false;
+        bool is_reported = false;
         bool is_confirmed = false; ///< by the leader of the current term
     };
 
     [[nodiscard]] int count(const request_fingerprint& request) const;
     void note_change(instant now, const request_fingerprint& request);
-    void keep_unproved(instant now, unchecked_cut in);
+    void add_unproved_cut(instant now, unchecked_cut in);
     /// Drops the cuts of a request that was answered. Returns true if one of them had been reported
     /// to the leader.
     bool drop_cuts(const request_fingerprint& request);
 
-    crash_ledger own_;
-    crash_counts shared_;
+    crash_ledger own_ledger_;
+    crash_counts leader_counts_;
     std::set<request_fingerprint> quarantined_; ///< by the leader
     std::set<request_fingerprint> own_causes_;  ///< by this daemon's own observations
-    std::optional<instant> leader_heard_at_;
+    std::optional<instant> answered_report_at_;
     std::map<runner_id, std::vector<unchecked_cut>> unchecked_;
     std::deque<unproved_cut> cuts_;
     /// When the history of each request that is not confirmed last changed.
--- a/include/cedarpoint/quarantine/quarantine_controller.h
+++ b/include/cedarpoint/quarantine/quarantine_controller.h
@@ -68,7 +68,7 @@
     std::map<request_fingerprint, instant> ordered_at_;
     std::set<request_fingerprint> causes_;      ///< as of the latest decision
     std::set<request_fingerprint> decided_for_; ///< requests already quarantined at that time
-    bool has_news_ = false;
+    bool needs_update_ = false;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/quarantine/runner_lives.h
+++ b/include/cedarpoint/quarantine/runner_lives.h
@@ -33,16 +33,16 @@
     [[nodiscard]] std::optional<birth> life_ended_by(const runner_id& runner, instant at) const;
 
 private:
-    struct heard_life {
+    struct known_life {
         birth life;
-        instant first_heard;
-        instant last_heard;
+        instant first_heartbeat_at;
+        instant last_heartbeat_at;
     };
     struct history {
-        std::deque<heard_life> lives; ///< the earliest first
+        std::deque<known_life> lives; ///< the earliest first
         std::optional<instant> replaced_at;
     };
-    using life_iterator = std::deque<heard_life>::const_iterator;
+    using life_iterator = std::deque<known_life>::const_iterator;
 
     [[nodiscard]] static life_iterator find_life(const history& in, instant at);
 
--- a/include/cedarpoint/quarantine/unproved_cuts.h
+++ b/include/cedarpoint/quarantine/unproved_cuts.h
@@ -28,10 +28,10 @@
 private:
     struct cut {
         request_fingerprint request;
-        crash_observation seen;
+        crash_observation observation;
     };
     [[nodiscard]] bool holds(const request_fingerprint& request,
-                             const crash_observation& seen) const;
+                             const crash_observation& observation) const;
     void drop_old(instant now);
 
     std::vector<cut> cuts_;
--- a/src/quarantine/crash_cause.cpp
+++ b/src/quarantine/crash_cause.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// From this many crashes on, a request is quarantined even if another one has as many.
-constexpr int crashes_to_end_a_tie = 5;
+constexpr int crashes_to_break_tie = 5;
 
 duration time_in_flight(const crash_history& in)
 {
@@ -18,7 +18,7 @@
     return out;
 }
 
-bool share_a_crash(const crash_history& one, const crash_history& other)
+bool have_common_crash(const crash_history& one, const crash_history& other)
 {
     return std::any_of(one.crashes.begin(), one.crashes.end(), [&](const auto& each) {
         return std::any_of(other.crashes.begin(), other.crashes.end(),
@@ -28,15 +28,16 @@
 
 /// Returns true if another request shares a crash with `request` and was in flight during at least
 /// as many crashes.
-bool has_rival(const crash_ledger& ledger, const request_fingerprint& request,
-               const std::set<request_fingerprint>& known)
+bool has_competing_suspect(const crash_ledger& ledger, const request_fingerprint& request,
+                           const std::set<request_fingerprint>& known)
 {
     const auto& own = *ledger.find(request);
     const int crashes = ledger.count_all(request, known);
     const auto& all = ledger.histories();
     return std::any_of(all.begin(), all.end(), [&](const auto& other) {
         return other.first != request && !known.contains(other.first) &&
-               ledger.count_all(other.first, known) >= crashes && share_a_crash(own, other.second);
+               ledger.count_all(other.first, known) >= crashes &&
+               have_common_crash(own, other.second);
     });
 }
 
@@ -50,8 +51,9 @@
             continue;
         }
         const int crashes = ledger.count(request, known);
-        const bool is_due = crashes >= crashes_to_quarantine &&
-                            (crashes >= crashes_to_end_a_tie || !has_rival(ledger, request, known));
+        const bool is_due =
+            crashes >= crashes_to_quarantine &&
+            (crashes >= crashes_to_break_tie || !has_competing_suspect(ledger, request, known));
         if (const auto time = time_in_flight(history); is_due && (!out || time < shortest)) {
             out = request;
             shortest = time;
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -19,7 +19,7 @@
 
 /// Crashes kept for each request. Crashes that follow one another are counted for the quarantine;
 /// the others are kept to distinguish the request from those in flight beside it.
-constexpr std::size_t most_crashes = 32;
+constexpr std::size_t max_crashes = 32;
 
 instant latest_change(const crash_history& in)
 {
@@ -47,11 +47,11 @@
     return out;
 }
 
-/// Removes one crash if there are more than `most_crashes`, preferably one that is not part of the
+/// Removes one crash if there are more than `max_crashes`, preferably one that is not part of the
 /// longest sequence.
-void drop_surplus(std::vector<crash_observation>& crashes)
+void drop_excess(std::vector<crash_observation>& crashes)
 {
-    if (crashes.size() <= most_crashes) {
+    if (crashes.size() <= max_crashes) {
         return;
     }
     crash_pointers all;
@@ -59,15 +59,15 @@
         all.push_back(&each);
     }
     const auto sequence = find_sequence(all);
-    const auto spare = std::find_if(crashes.begin(), crashes.end(), [&](const auto& each) {
+    const auto removable = std::find_if(crashes.begin(), crashes.end(), [&](const auto& each) {
         return std::find(sequence.begin(), sequence.end(), &each) == sequence.end();
     });
-    crashes.erase(spare == crashes.end() ? std::prev(crashes.end()) : spare);
+    crashes.erase(removable == crashes.end() ? std::prev(crashes.end()) : removable);
 }
 
 /// Eviction order. Requests without a crash are evicted first: many requests lose a connection and
 /// are answered later.
-bool goes_before(const crash_history& one, const crash_history& other)
+bool is_evicted_before(const crash_history& one, const crash_history& other)
 {
     return std::pair{!one.crashes.empty(), latest_change(one)} <
            std::pair{!other.crashes.empty(), latest_change(other)};
@@ -121,7 +121,7 @@
                                     [&](const auto& each) { return is_same_end(each, in); });
     if (known == own.crashes.end()) {
         own.crashes.push_back(std::move(in));
-        drop_surplus(own.crashes);
+        drop_excess(own.crashes);
     }
     else if (known->daemon == in.daemon) {
         // Times within one report are consistent with one another, so the latest report replaces
@@ -141,12 +141,13 @@
 
 void crash_ledger::drop_oldest()
 {
-    if (histories_.size() <= most_requests_) {
+    if (histories_.size() <= max_requests_) {
         return;
     }
-    histories_.erase(std::min_element(
-        histories_.begin(), histories_.end(),
-        [](const auto& one, const auto& other) { return goes_before(one.second, other.second); }));
+    histories_.erase(std::min_element(histories_.begin(), histories_.end(),
+                                      [](const auto& one, const auto& other) {
+                                          return is_evicted_before(one.second, other.second);
+                                      }));
 }
 
 const crash_history* crash_ledger::find(const request_fingerprint& request) const
--- a/src/quarantine/crash_messages.cpp
+++ b/src/quarantine/crash_messages.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Larger ages are clamped to this one, so that the subtraction from the clock can't overflow.
-constexpr std::uint64_t longest_age_ms = std::uint64_t{1} << 40;
+constexpr std::uint64_t max_age_ms = std::uint64_t{1} << 40;
 
 std::uint64_t to_age(instant now, instant at)
 {
@@ -16,7 +16,7 @@
 
 instant from_age(instant now, std::uint64_t ms)
 {
-    return now - milliseconds{static_cast<std::int64_t>(std::min(ms, longest_age_ms))};
+    return now - milliseconds{static_cast<std::int64_t>(std::min(ms, max_age_ms))};
 }
 
 crash_observation decode_crash(instant made_at, const wire::crash_sighting& in)
--- a/src/quarantine/crash_witness.cpp
+++ b/src/quarantine/crash_witness.cpp
@@ -9,32 +9,32 @@
 namespace {
 
 /// Suspected requests that a daemon keeps: several times the number in flight at a few runners.
-constexpr std::size_t most_requests = 256;
+constexpr std::size_t max_requests = 256;
 
 /// Cuts kept for one runner while its check is under way; more than the requests that a runner
 /// processes concurrently.
-constexpr std::size_t most_unchecked = 128;
+constexpr std::size_t max_unchecked_cuts = 128;
 
 /// If the leader has not answered for this long, a daemon decides by its own observations.
-constexpr duration leader_patience = seconds{1};
+constexpr duration leader_timeout = seconds{1};
 
 /// Cuts kept that are not proved to be crashes: enough for a reset of all of the daemon's
 /// connections.
-constexpr std::size_t most_unproved = 256;
+constexpr std::size_t max_unproved_cuts = 256;
 
 /// A later life of a runner doesn't prove that a cut longer ago than this was a crash.
-constexpr duration longest_unproved = seconds{10};
+constexpr duration max_unproved_age = seconds{10};
 
 } // namespace
 
-crash_witness::crash_witness() : own_{most_requests} {}
+crash_witness::crash_witness() : own_ledger_{max_requests} {}
 
 bool crash_witness::on_cut(const request_fingerprint& request, crash_observation in)
 {
     auto& waiting = unchecked_[in.runner];
     const bool is_first = waiting.empty();
     in.serial = static_cast<std::uint64_t>(in.ended_at.time_since_epoch().count());
-    if (waiting.size() < most_unchecked) {
+    if (waiting.size() < max_unchecked_cuts) {
         waiting.push_back({request, std::move(in)});
     }
     return is_first;
@@ -54,42 +54,42 @@
     const auto last_end = latest.crash;
     for (auto& each : found.mapped()) {
         if (!refused || !is_same_end(each.crash, last_end)) {
-            keep_unproved(now, std::move(each));
+            add_unproved_cut(now, std::move(each));
             continue;
         }
-        own_.add(each.request, each.crash);
+        own_ledger_.add(each.request, each.crash);
         note_change(now, each.request);
         out[each.request].crashes.push_back(std::move(each.crash));
     }
     return out;
 }
 
-void crash_witness::keep_unproved(instant now, unchecked_cut in)
+void crash_witness::add_unproved_cut(instant now, unchecked_cut in)
 {
     cuts_.push_back({in.request, std::move(in.crash), now});
-    if (cuts_.size() > most_unproved) {
+    if (cuts_.size() > max_unproved_cuts) {
         cuts_.pop_front();
     }
 }
 
 bool crash_witness::drop_cuts(const request_fingerprint& request)
 {
-    bool was_told = false;
+    bool was_reported = false;
     std::erase_if(cuts_, [&](const auto& each) {
-        was_told = was_told || (each.request == request && each.is_told);
+        was_reported = was_reported || (each.request == request && each.is_reported);
         return each.request == request;
     });
-    return was_told;
+    return was_reported;
 }
 
 crash_histories crash_witness::unconfirmed_cuts(instant now)
 {
     std::erase_if(cuts_,
-                  [&](const auto& each) { return now - each.crash.ended_at > longest_unproved; });
+                  [&](const auto& each) { return now - each.crash.ended_at > max_unproved_age; });
     crash_histories out;
     for (auto& each : cuts_) {
         if (!each.is_confirmed) {
-            each.is_told = true;
+            each.is_reported = true;
             out[each.request].crashes.push_back(each.crash);
         }
     }
@@ -99,56 +99,59 @@
 void crash_witness::merge(instant now, const crash_histories& in)
 {
     for (const auto& [request, history] : in) {
-        own_.merge(request, history);
+        own_ledger_.merge(request, history);
         note_change(now, request);
     }
 }
 
 void crash_witness::on_answer(instant now, const request_fingerprint& request)
 {
-    const bool was_told = drop_cuts(request);
-    if (!was_told && own_.find(request) == nullptr && !shared_.contains(request)) {
+    const bool was_reported = drop_cuts(request);
+    if (!was_reported && own_ledger_.find(request) == nullptr &&
+        !leader_counts_.contains(request)) {
         return;
     }
-    own_.on_answer(now, request);
+    own_ledger_.on_answer(now, request);
     note_change(now, request);
 }
 
 void crash_witness::note_change(instant now, const request_fingerprint& request)
 {
     changed_at_[request] = now;
-    std::erase_if(changed_at_, [&](const auto& each) { return own_.find(each.first) == nullptr; });
-    own_causes_ = find_crash_causes(own_, quarantined_);
+    std::erase_if(changed_at_,
+                  [&](const auto& each) { return own_ledger_.find(each.first) == nullptr; });
+    own_causes_ = find_crash_causes(own_ledger_, quarantined_);
 }
 
 void crash_witness::set_shared(instant now, crash_counts counts)
 {
     for (const auto& [request, crashes] : counts) {
-        const auto before = shared_.find(request);
-        const bool is_news = before == shared_.end() || before->second != 0;
-        if (crashes == 0 && is_news && own_.find(request) != nullptr) {
-            own_.on_answer(now, request);
+        const auto before = leader_counts_.find(request);
+        const bool was_not_cleared = before == leader_counts_.end() || before->second != 0;
+        if (crashes == 0 && was_not_cleared && own_ledger_.find(request) != nullptr) {
+            own_ledger_.on_answer(now, request);
         }
     }
-    shared_ = std::move(counts);
+    leader_counts_ = std::move(counts);
     quarantined_.clear();
-    for (const auto& [request, crashes] : shared_) {
+    for (const auto& [request, crashes] : leader_counts_) {
         if (crashes >= crashes_to_quarantine) {
             quarantined_.insert(request);
         }
     }
-    own_causes_ = find_crash_causes(own_, quarantined_);
+    own_causes_ = find_crash_causes(own_ledger_, quarantined_);
 }
 
 int crash_witness::count(const request_fingerprint& request) const
 {
-    const auto told = shared_.find(request);
-    return std::max(told == shared_.end() ? 0 : told->second, own_.count(request, quarantined_));
+    const auto leader_count = leader_counts_.find(request);
+    return std::max(leader_count == leader_counts_.end() ? 0 : leader_count->second,
+                    own_ledger_.count(request, quarantined_));
 }
 
 bool crash_witness::is_quarantined(instant now, const request_fingerprint& request) const
 {
-    const bool is_alone = !leader_heard_at_ || now - *leader_heard_at_ > leader_patience;
+    const bool is_alone = !answered_report_at_ || now - *answered_report_at_ > leader_timeout;
     return quarantined_.contains(request) || (is_alone && own_causes_.contains(request));
 }
 
@@ -170,7 +173,7 @@
 {
     crash_histories out;
     for (const auto& [request, at] : changed_at_) {
-        if (const auto* known = own_.find(request); known != nullptr) {
+        if (const auto* known = own_ledger_.find(request); known != nullptr) {
             out[request] = *known;
         }
     }
@@ -181,14 +184,14 @@
 {
     // The time of the report, because the answer may have been read late, after the machine was
     // suspended.
-    leader_heard_at_ = asked_at;
+    answered_report_at_ = asked_at;
     const bool is_new_term = std::exchange(term_, term) != term;
     for (auto& each : cuts_) {
         each.is_confirmed =
-            !is_new_term && (each.is_confirmed || (each.is_told && each.checked_at < asked_at));
+            !is_new_term && (each.is_confirmed || (each.is_reported && each.checked_at < asked_at));
     }
     if (is_new_term) {
-        for (const auto& [request, history] : own_.histories()) {
+        for (const auto& [request, history] : own_ledger_.histories()) {
             changed_at_[request] = now; // a new leader has none of the observations
         }
         return;
--- a/src/quarantine/quarantine_controller.cpp
+++ b/src/quarantine/quarantine_controller.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 /// Suspected requests that are kept for the whole fleet.
-constexpr std::size_t most_requests = 256;
+constexpr std::size_t max_requests = 256;
 
 /// An order is repeated after this time, because its log entry may have been lost.
 constexpr duration order_interval = seconds{1};
 
 } // namespace
 
-quarantine_controller::quarantine_controller() : ledger_{most_requests} {}
+quarantine_controller::quarantine_controller() : ledger_{max_requests} {}
 
 void quarantine_controller::clear()
 {
@@ -25,7 +25,7 @@
     cuts_.clear();
     ordered_at_.clear();
     causes_.clear();
-    has_news_ = false;
+    needs_update_ = false;
 }
 
 void quarantine_controller::on_report(const crash_histories& in)
@@ -39,7 +39,7 @@
             cuts_.on_answer(*history.answered_at, request);
         }
         ledger_.merge(request, history);
-        has_news_ = true;
+        needs_update_ = true;
     }
 }
 
@@ -65,7 +65,7 @@
     auto out = cuts_.take_proved(now, lives_);
     for (const auto& [request, history] : out) {
         ledger_.merge(request, history);
-        has_news_ = true;
+        needs_update_ = true;
     }
     return out;
 }
@@ -73,7 +73,7 @@
 std::vector<quarantine_order>
 quarantine_controller::decide(instant now, const std::set<request_fingerprint>& quarantined)
 {
-    if (std::exchange(has_news_, false) || decided_for_ != quarantined) {
+    if (std::exchange(needs_update_, false) || decided_for_ != quarantined) {
         causes_ = find_crash_causes(ledger_, quarantined);
         decided_for_ = quarantined;
     }
@@ -92,7 +92,7 @@
 void quarantine_controller::on_lifted(instant now, const request_fingerprint& request)
 {
     ledger_.on_answer(now, request);
-    has_news_ = true;
+    needs_update_ = true;
 }
 
 crash_counts quarantine_controller::counts(const std::set<request_fingerprint>& quarantined,
--- a/src/quarantine/request_fingerprint.cpp
+++ b/src/quarantine/request_fingerprint.cpp
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 namespace {
 
-constexpr std::size_t half_digits = 16;
+constexpr std::size_t digits_per_half = 16;
 
 /// Hashes the length first, so that inputs that differ only in the boundaries between fields have
 /// different hashes.
@@ -25,9 +25,9 @@
     constexpr std::string_view digits = "0123456789abcdef";
     std::uint64_t out = 0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), out, hex);
-    const bool whole = ec == std::errc{} && end == text.data() + text.size() &&
-                       text.find_first_not_of(digits) == std::string_view::npos;
-    return whole ? std::optional{out} : std::nullopt;
+    const bool is_valid = ec == std::errc{} && end == text.data() + text.size() &&
+                          text.find_first_not_of(digits) == std::string_view::npos;
+    return is_valid ? std::optional{out} : std::nullopt;
 }
 
 } // namespace
@@ -39,11 +39,11 @@
 
 std::optional<request_fingerprint> request_fingerprint::parse(std::string_view text)
 {
-    if (text.size() != 2 * half_digits) {
+    if (text.size() != 2 * digits_per_half) {
         return {};
     }
-    const auto high = parse_half(text.substr(0, half_digits));
-    const auto low = parse_half(text.substr(half_digits));
+    const auto high = parse_half(text.substr(0, digits_per_half));
+    const auto low = parse_half(text.substr(digits_per_half));
     return high && low ? std::optional{request_fingerprint{*high, *low}} : std::nullopt;
 }
 
--- a/src/quarantine/runner_lives.cpp
+++ b/src/quarantine/runner_lives.cpp
@@ -9,7 +9,7 @@
 
 /// Lives kept for each runner: enough for a runner that restarts several times a second while a cut
 /// waits for its proof.
-constexpr std::size_t most_lives = 32;
+constexpr std::size_t max_lives = 32;
 
 /// A heartbeat that arrives within this time after a cut may have been sent before the runner
 /// ended.
@@ -17,11 +17,11 @@
 
 /// If the next life is seen later than this after a cut, the runner may have ended at any time in
 /// between, so the cut is not proved to be a crash.
-constexpr duration longest_return = seconds{10};
+constexpr duration max_restart_time = seconds{10};
 
-bool is_soon(instant at, instant heard)
+bool is_prompt_restart(instant at, instant next_seen)
 {
-    return heard > at && heard - at <= longest_return;
+    return next_seen > at && next_seen - at <= max_restart_time;
 }
 
 } // namespace
@@ -31,11 +31,11 @@
     auto& own = runners_[runner];
     own.replaced_at.reset();
     if (!own.lives.empty() && own.lives.back().life >= life) {
-        own.lives.back().last_heard = now;
+        own.lives.back().last_heartbeat_at = now;
         return false;
     }
     own.lives.push_back({life, now, now});
-    if (own.lives.size() > most_lives) {
+    if (own.lives.size() > max_lives) {
         own.lives.pop_front();
     }
     return true;
@@ -57,7 +57,7 @@
 runner_lives::life_iterator runner_lives::find_life(const history& in, instant at)
 {
     const auto next = std::find_if(in.lives.begin(), in.lives.end(),
-                                   [&](const auto& each) { return each.first_heard > at; });
+                                   [&](const auto& each) { return each.first_heartbeat_at > at; });
     return next == in.lives.begin() ? in.lives.end() : std::prev(next);
 }
 
@@ -79,12 +79,12 @@
     }
     const auto& [lives, replaced_at] = found->second;
     const auto own = find_life(found->second, at);
-    if (own == lives.end() || own->last_heard > at + heartbeat_transit) {
+    if (own == lives.end() || own->last_heartbeat_at > at + heartbeat_transit) {
         return {};
     }
     const auto next = std::next(own);
-    const bool has_ended = next == lives.end() ? replaced_at && is_soon(at, *replaced_at)
-                                               : is_soon(at, next->first_heard);
+    const bool has_ended = next == lives.end() ? replaced_at && is_prompt_restart(at, *replaced_at)
+                                               : is_prompt_restart(at, next->first_heartbeat_at);
     return has_ended ? std::optional{own->life} : std::nullopt;
 }
 
--- a/src/quarantine/unproved_cuts.cpp
+++ b/src/quarantine/unproved_cuts.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// Enough for the requests of all entry daemons in flight at a few runners.
-constexpr std::size_t most_cuts = 1024;
+constexpr std::size_t max_cuts = 1024;
 
 /// Longer than a runner takes to restart and send a heartbeat; see `runner_lives`.
-constexpr duration longest_wait = seconds{12};
+constexpr duration max_cut_age = seconds{12};
 
 } // namespace
 
@@ -20,7 +20,7 @@
     drop_old(now);
     for (const auto& [request, history] : in) {
         for (const auto& each : history.crashes) {
-            const bool is_due = now - each.ended_at <= longest_wait && cuts_.size() < most_cuts;
+            const bool is_due = now - each.ended_at <= max_cut_age && cuts_.size() < max_cuts;
             if (is_due && !holds(request, each)) {
                 cuts_.push_back({request, each});
             }
@@ -28,17 +28,18 @@
     }
 }
 
-bool unproved_cuts::holds(const request_fingerprint& request, const crash_observation& seen) const
+bool unproved_cuts::holds(const request_fingerprint& request,
+                          const crash_observation& observation) const
 {
     return std::any_of(cuts_.begin(), cuts_.end(), [&](const auto& each) {
-        return each.request == request && is_same_observation(each.seen, seen);
+        return each.request == request && is_same_observation(each.observation, observation);
     });
 }
 
 void unproved_cuts::on_answer(instant at, const request_fingerprint& request)
 {
     std::erase_if(cuts_, [&](const auto& each) {
-        return each.request == request && each.seen.ended_at <= at;
+        return each.request == request && each.observation.ended_at <= at;
     });
 }
 
@@ -48,14 +49,14 @@
     crash_histories out;
     std::vector<cut> waiting;
     for (auto& each : cuts_) {
-        const auto life = lives.life_ended_by(each.seen.runner, each.seen.ended_at);
+        const auto life = lives.life_ended_by(each.observation.runner, each.observation.ended_at);
         if (!life) {
             waiting.push_back(std::move(each));
             continue;
         }
-        each.seen.life = *life;
-        each.seen.is_proved_by_life = true;
-        out[each.request].crashes.push_back(std::move(each.seen));
+        each.observation.life = *life;
+        each.observation.is_proved_by_life = true;
+        out[each.request].crashes.push_back(std::move(each.observation));
     }
     cuts_ = std::move(waiting);
     return out;
@@ -63,7 +64,8 @@
 
 void unproved_cuts::drop_old(instant now)
 {
-    std::erase_if(cuts_, [&](const auto& each) { return now - each.seen.ended_at > longest_wait; });
+    std::erase_if(cuts_,
+                  [&](const auto& each) { return now - each.observation.ended_at > max_cut_age; });
 }
 
 } // namespace cedarpoint
--- a/tests/quarantine/crash_ledger_test.cpp
+++ b/tests/quarantine/crash_ledger_test.cpp
@@ -54,7 +54,7 @@
 
 // Guards against the same failure with delayed reports: crashes are distinguished by the times of
 // the connections that they broke.
-TEST_F(crash_ledger_test, tells_ends_of_one_runner_apart_by_the_connections_that_they_broke)
+TEST_F(crash_ledger_test, distinguishes_crashes_of_one_runner_by_the_connections_that_they_broke)
 {
     const auto crash_of = [](int connected_ms, int sent_ms, int ended_ms, const char* daemon) {
         auto out = crash("a", sent_ms, ended_ms, daemon);
@@ -76,7 +76,7 @@
 
 // Guards against a crash counting twice when it is reported again by a message that was delayed
 // less than the first one.
-TEST_F(crash_ledger_test, counts_an_observation_once_however_late_it_is_told_first)
+TEST_F(crash_ledger_test, counts_an_observation_once_when_its_first_report_is_delayed)
 {
     auto seen = crash("a", 3000, 3050);
     seen.connected_at = at(2900);
@@ -110,7 +110,7 @@
     EXPECT_EQ(ledger.find(cause)->crashes.size(), 2U);
 }
 
-TEST_F(crash_ledger_test, takes_the_latest_times_of_a_daemon_for_a_crash_that_it_reports_again)
+TEST_F(crash_ledger_test, uses_the_latest_times_when_a_daemon_reports_a_crash_again)
 {
     // Times are sent as ages, so they seem later in a report that was delayed.
     ledger.add(cause, crash("a", 30, 80));
@@ -133,7 +133,7 @@
     EXPECT_EQ(count(cause), 1);
 }
 
-TEST_F(crash_ledger_test, an_answer_counts_that_is_heard_before_the_crash)
+TEST_F(crash_ledger_test, an_answer_that_is_reported_before_the_crash_counts)
 {
     ledger.on_answer(at(200), cause);
     ledger.add(cause, crash("a", 0, 50));
@@ -152,7 +152,7 @@
     EXPECT_EQ(ledger.count(cause, {cause}), 2);
 }
 
-TEST_F(crash_ledger_test, forgets_the_request_whose_latest_crash_is_the_oldest)
+TEST_F(crash_ledger_test, evicts_the_request_whose_latest_crash_is_the_oldest)
 {
     for (std::uint64_t n = 10; n < 14; ++n) {
         ledger.add({n, n}, crash("a", static_cast<int>(n) * 10, static_cast<int>(n) * 10 + 5));
--- a/tests/quarantine/crash_witness_test.cpp
+++ b/tests/quarantine/crash_witness_test.cpp
@@ -35,7 +35,7 @@
     crash_witness witness;
 };
 
-TEST_F(crash_witness_test, takes_a_cut_for_a_crash_only_if_the_runner_refuses_connections)
+TEST_F(crash_witness_test, counts_a_cut_as_a_crash_only_if_the_runner_refuses_connections)
 {
     EXPECT_FALSE(witness.is_watching());
     cut(crashing, "a", 0, 50);
@@ -49,7 +49,7 @@
     EXPECT_EQ(witness.unconfirmed().at(crashing).crashes.size(), 1U);
 }
 
-TEST_F(crash_witness_test, asks_for_one_check_of_a_runner_whatever_was_in_flight_there)
+TEST_F(crash_witness_test, asks_for_one_check_of_a_runner_for_all_requests_in_flight)
 {
     const crash_observation seen{runner_id{"a"}, at(0), at(50), {}, request_id{"r"}};
     EXPECT_TRUE(witness.on_cut(crashing, seen));
@@ -59,7 +59,7 @@
 }
 
 // Guards against one check proving crashes of two lives of a runner that restarts quickly.
-TEST_F(crash_witness_test, takes_a_refused_connection_for_the_end_of_the_latest_life_alone)
+TEST_F(crash_witness_test, takes_a_refused_connection_as_proof_for_the_latest_life_only)
 {
     crash_observation seen{runner_id{"a"}, at(0), at(50), {}, request_id{"r"}, at(0)};
     EXPECT_TRUE(witness.on_cut(sound, seen));
@@ -74,7 +74,7 @@
     EXPECT_TRUE(cuts.contains(sound));
 }
 
-TEST_F(crash_witness_test, reports_a_cut_that_proves_nothing_until_the_leader_has_it)
+TEST_F(crash_witness_test, reports_an_unproved_cut_until_the_leader_confirms_it)
 {
     witness.on_confirmed(at(0), 1, at(0));
     cut(crashing, "a", 0, 50);
@@ -90,7 +90,7 @@
     EXPECT_TRUE(witness.unconfirmed_cuts(at(30'000)).empty()) << "too old to be proved";
 }
 
-TEST_F(crash_witness_test, forgets_the_cuts_of_a_request_that_is_answered)
+TEST_F(crash_witness_test, drops_the_cuts_of_a_request_that_is_answered)
 {
     cut(sound, "a", 0, 50);
     check("a", 70, false);
@@ -108,7 +108,7 @@
         << "the cut was reported to the leader";
 }
 
-TEST_F(crash_witness_test, stops_the_retries_of_a_try_under_which_two_runners_ended)
+TEST_F(crash_witness_test, stops_the_retries_of_a_request_after_two_runners_crashed)
 {
     crash(crashing, "a", 0, 50);
     EXPECT_TRUE(witness.may_retry(crashing));
@@ -122,7 +122,7 @@
 }
 
 // Guards against ending streams whose runners cut their answers but did not crash.
-TEST_F(crash_witness_test, lets_a_try_go_on_after_cuts_of_which_none_is_known_to_be_a_crash)
+TEST_F(crash_witness_test, allows_retries_after_cuts_that_are_not_proved_to_be_crashes)
 {
     cut(sound, "a", 0, 5);
     cut(sound, "b", 5, 10);
@@ -134,7 +134,7 @@
     EXPECT_FALSE(witness.is_watching());
 }
 
-TEST_F(crash_witness_test, quarantines_by_itself_while_no_leader_speaks)
+TEST_F(crash_witness_test, quarantines_by_its_own_observations_while_no_leader_answers)
 {
     crash(crashing, "a", 0, 50);
     crash(crashing, "b", 50, 100);
@@ -148,7 +148,7 @@
     EXPECT_TRUE(witness.is_quarantined(at(1600), crashing)) << "the leader is lost";
 }
 
-TEST_F(crash_witness_test, adds_what_others_saw_by_the_leader)
+TEST_F(crash_witness_test, uses_the_counts_of_the_leader)
 {
     witness.set_shared(at(350), {{crashing, 2}});
     EXPECT_TRUE(witness.is_watching());
@@ -161,7 +161,7 @@
     EXPECT_FALSE(witness.is_quarantined(at(0), crashing));
 }
 
-TEST_F(crash_witness_test, a_quarantined_request_explains_the_crashes_to_those_beside_it)
+TEST_F(crash_witness_test, crashes_of_a_quarantined_request_do_not_count_against_others)
 {
     for (int n = 0; n < 3; ++n) {
         const std::string runner{static_cast<char>('a' + n)};
@@ -190,7 +190,7 @@
     EXPECT_EQ(witness.unconfirmed().at(crashing).answered_at, at(300));
 }
 
-TEST_F(crash_witness_test, forgets_what_it_saw_of_a_request_whose_quarantine_is_lifted)
+TEST_F(crash_witness_test, drops_its_observations_of_a_request_whose_quarantine_is_lifted)
 {
     crash(crashing, "a", 0, 50);
     crash(crashing, "b", 50, 100);
@@ -207,13 +207,13 @@
     EXPECT_FALSE(witness.may_retry(crashing));
 }
 
-TEST_F(crash_witness_test, remembers_no_answer_to_a_request_that_nobody_suspects)
+TEST_F(crash_witness_test, keeps_no_answer_to_a_request_that_is_not_suspected)
 {
     witness.on_answer(at(0), sound);
     EXPECT_FALSE(witness.is_watching());
 }
 
-TEST_F(crash_witness_test, reports_until_the_leader_has_answered_and_anew_to_the_next_one)
+TEST_F(crash_witness_test, reports_until_the_leader_has_answered_and_again_to_the_next_one)
 {
     witness.on_confirmed(at(0), 1, at(0));
     crash(crashing, "a", 0, 50);
@@ -229,7 +229,7 @@
     EXPECT_TRUE(witness.unconfirmed().empty());
 }
 
-TEST_F(crash_witness_test, bounds_what_it_remembers)
+TEST_F(crash_witness_test, bounds_the_number_of_requests_that_it_keeps)
 {
     for (std::uint64_t n = 0; n < 2000; ++n) {
         crash({n, n}, "a", static_cast<int>(n) * 10, static_cast<int>(n) * 10 + 5);
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -25,9 +25,9 @@
 
 // The guarantee to users: once a request has crashed three runners, it arrives at most three more
 // times at runners, over any time, from daemons that have been connected for `contact_time`.
-constexpr std::size_t ends_that_suffice = 3;
+constexpr std::size_t crashes_before_guarantee = 3;
 constexpr duration contact_time = seconds{3};
-constexpr std::size_t most_arrivals_after = 3;
+constexpr std::size_t max_arrivals_after = 3;
 
 constexpr int runner_count = 12;
 
@@ -57,7 +57,7 @@
 }
 
 /// The effect of one request on all runners.
-struct damage {
+struct crash_impact {
     std::size_t ends = 0;           ///< runners that crashed while running the request
     std::size_t arrivals_after = 0; ///< arrivals that the guarantee bounds
 };
@@ -97,7 +97,7 @@
             });
     }
 
-    [[nodiscard]] damage damage_of(const std::string& body) const
+    [[nodiscard]] crash_impact crash_impact_of(const std::string& body) const
     {
         std::vector<instant> arrivals;
         for (const auto& runner : runners) {
@@ -108,11 +108,11 @@
             }
         }
         std::sort(arrivals.begin(), arrivals.end());
-        damage out;
+        crash_impact out;
         out.ends = arrivals.size(); // each crashes its runner, or arrives while it is ending
-        if (arrivals.size() >= ends_that_suffice) {
+        if (arrivals.size() >= crashes_before_guarantee) {
             const auto counted_from =
-                arrivals[ends_that_suffice - 1] + runners[0]->time_to_end + contact_time;
+                arrivals[crashes_before_guarantee - 1] + runners[0]->time_to_end + contact_time;
             out.arrivals_after = static_cast<std::size_t>(std::count_if(
                 arrivals.begin(), arrivals.end(), [&](instant at) { return at > counted_from; }));
         }
@@ -126,11 +126,12 @@
         }
     }
 
-    void expect_promise(const std::string& body) const
+    void expect_guarantee(const std::string& body) const
     {
-        const auto done = damage_of(body);
-        EXPECT_GE(done.ends, ends_that_suffice) << body << " crashes the runners in this test";
-        EXPECT_LE(done.arrivals_after, most_arrivals_after)
+        const auto done = crash_impact_of(body);
+        EXPECT_GE(done.ends, crashes_before_guarantee)
+            << body << " crashes the runners in this test";
+        EXPECT_LE(done.arrivals_after, max_arrivals_after)
             << body << ", " << done.ends << " in all";
     }
 
@@ -160,8 +161,8 @@
     auto first = ask(5, "first", "/safe/x", repeatable);
     auto second = ask(4, "second", "/once/x", unrepeatable);
     pass_time(seconds{9});
-    expect_promise(repeatable);
-    expect_promise(unrepeatable);
+    expect_guarantee(repeatable);
+    expect_guarantee(unrepeatable);
     for (const auto* callers : {first.get(), second.get()}) {
         ASSERT_FALSE(callers->results.empty());
         EXPECT_EQ(callers->results.back().status, quarantined_status);
@@ -174,8 +175,8 @@
     fleet.at(*lost).signal(SIGKILL);
     pass_time(seconds{3});
     fleet.start(*lost, false);
-    expect_promise(repeatable);
-    expect_promise(unrepeatable);
+    expect_guarantee(repeatable);
+    expect_guarantee(unrepeatable);
 
     // Every entry daemon fails and restarts, one after the other.
     for (int which = fleet_processes::control_count; which < fleet.count(); ++which) {
@@ -184,8 +185,8 @@
         fleet.start(which, false);
         pass_time(milliseconds{150});
     }
-    expect_promise(repeatable);
-    expect_promise(unrepeatable);
+    expect_guarantee(repeatable);
+    expect_guarantee(unrepeatable);
 
     // The callers stop, and send the request again after a pause.
     first.reset();
@@ -193,7 +194,7 @@
     pass_time(seconds{10});
     first = ask(5, "again", "/safe/x", repeatable);
     pass_time(seconds{3});
-    expect_promise(repeatable);
+    expect_guarantee(repeatable);
     expect_no_quarantine(*sound);
 }
 
@@ -209,7 +210,7 @@
     const auto sound = ask_sound(30);
     const auto crashing = ask(7, "crashing", "/safe/x", repeatable);
     pass_time(seconds{12});
-    expect_promise(repeatable);
+    expect_guarantee(repeatable);
     expect_no_quarantine(*sound);
     EXPECT_GT(sound->served_share(steady_now() - seconds{2}, steady_now()), 0.95);
 }
@@ -264,7 +265,7 @@
     pass_time(seconds{1});
     const auto crashing = ask(4, "crashing", "/safe/x", repeatable);
     pass_time(seconds{9});
-    expect_promise(repeatable);
+    expect_guarantee(repeatable);
     expect_no_quarantine(*beside);
 }
 
--- a/tests/quarantine/quarantine_controller_test.cpp
+++ b/tests/quarantine/quarantine_controller_test.cpp
@@ -45,7 +45,7 @@
 
 using requests = std::vector<request_fingerprint>;
 
-TEST_F(quarantine_controller_test, adds_up_what_several_daemons_have_seen)
+TEST_F(quarantine_controller_test, adds_up_the_crashes_that_several_daemons_report)
 {
     crash("a", 50, {{crashing, 50}}, "d-1");
     crash("b", 200, {{crashing, 50}}, "d-2");
@@ -65,7 +65,8 @@
 // Guards against never distinguishing a request that is sent in several copies at once from a sound
 // one in flight beside it: few of its crashes follow one another, and if only these were kept, the
 // two requests would have the same count.
-TEST_F(quarantine_controller_test, tells_a_request_in_many_copies_from_one_that_was_at_fewer_ends)
+TEST_F(quarantine_controller_test,
+       distinguishes_a_request_in_many_copies_from_one_with_fewer_crashes)
 {
     crash("a", 381, {{crashing, 369}, {sound, 100}});
     crash("b", 841, {{crashing, 459}, {sound, 100}});
@@ -75,7 +76,7 @@
     EXPECT_EQ(decide(1420), requests{crashing});
 }
 
-TEST_F(quarantine_controller_test, decides_in_the_end_whatever_number_of_ends_overlap)
+TEST_F(quarantine_controller_test, decides_eventually_however_many_crashes_overlap)
 {
     // Another request is involved in each of the first crashes, and in none of the later ones.
     for (int n = 0; n < 40; ++n) {
@@ -90,7 +91,7 @@
     EXPECT_EQ(decide(6100), requests{crashing});
 }
 
-TEST_F(quarantine_controller_test, names_the_crashes_that_show_why)
+TEST_F(quarantine_controller_test, lists_the_crashes_that_justify_the_quarantine)
 {
     crash("a", 50, {{crashing, 50}});
     crash("b", 200, {{crashing, 50}});
@@ -101,7 +102,7 @@
     EXPECT_EQ(orders[0].crashes[2].runner, runner_id{"c"});
 }
 
-TEST_F(quarantine_controller_test, finds_two_at_once_and_spares_those_beside_them)
+TEST_F(quarantine_controller_test, finds_two_crashing_requests_and_no_sound_one_beside_them)
 {
     // The sound request is retried at runners that the others crash.
     crash("a", 50, {{crashing, 50}, {sound, 20}});
@@ -121,7 +122,7 @@
     EXPECT_EQ(decide(810), requests{second_crashing});
 }
 
-TEST_F(quarantine_controller_test, does_not_wait_for_ever_where_two_are_always_together)
+TEST_F(quarantine_controller_test, decides_between_two_requests_that_are_always_in_flight_together)
 {
     for (int n = 0; n < 5; ++n) {
         EXPECT_EQ(decide(n * 200), requests{});
@@ -133,7 +134,7 @@
     EXPECT_EQ(decide(1000), requests{crashing});
 }
 
-TEST_F(quarantine_controller_test, never_names_a_popular_request)
+TEST_F(quarantine_controller_test, never_quarantines_a_popular_request)
 {
     for (int n = 0; n < 20; ++n) {
         const std::string runner{static_cast<char>('a' + n)};
@@ -146,7 +147,7 @@
     EXPECT_FALSE(controller.counts(quarantined).contains(sound));
 }
 
-TEST_F(quarantine_controller_test, forgets_all_with_a_new_term)
+TEST_F(quarantine_controller_test, drops_all_observations_with_a_new_term)
 {
     crash("a", 50, {{crashing, 50}});
     controller.clear();
--- a/tests/quarantine/request_fingerprint_test.cpp
+++ b/tests/quarantine/request_fingerprint_test.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-TEST(request_fingerprint, keeps_the_borders_between_parts)
+TEST(request_fingerprint, keeps_the_boundaries_between_parts)
 {
     auto shifted = base;
     shifted.target = "/ask/x?q=1b";
--- a/tests/quarantine/runner_lives_test.cpp
+++ b/tests/quarantine/runner_lives_test.cpp
@@ -19,7 +19,7 @@
     return instant{} + seconds{1000} + milliseconds{ms};
 }
 
-TEST(lives_of_a_runner, prove_that_a_cut_was_an_end_once_a_later_one_is_heard)
+TEST(lives_of_a_runner, prove_that_a_cut_was_a_crash_once_a_later_one_is_seen)
 {
     runner_lives lives;
     EXPECT_TRUE(lives.on_heard(at(0), runner, first));
@@ -37,7 +37,7 @@
     EXPECT_EQ(lives.life_at(runner, at(-1)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, take_a_heartbeat_that_comes_late_for_no_new_life)
+TEST(lives_of_a_runner, do_not_change_with_a_late_heartbeat_of_an_earlier_one)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, second);
@@ -45,7 +45,7 @@
     EXPECT_EQ(lives.life_at(runner, at(200)), second);
 }
 
-TEST(lives_of_a_runner, prove_nothing_if_the_next_one_is_heard_long_after)
+TEST(lives_of_a_runner, prove_nothing_if_the_next_one_is_seen_long_after)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, first);
@@ -53,7 +53,7 @@
     EXPECT_EQ(lives.life_ended_by(runner, at(1000)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, end_when_another_runner_begins_at_its_address)
+TEST(lives_of_a_runner, end_when_another_runner_starts_at_its_address)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, birth{});
@@ -62,7 +62,7 @@
     EXPECT_EQ(lives.life_ended_by(runner, at(800)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, are_known_to_a_new_leader_by_the_log)
+TEST(lives_of_a_runner, are_known_to_a_new_leader_from_the_log)
 {
     runner_lives lives;
     lives.expect(runner, first);
@@ -96,7 +96,7 @@
     quarantine_controller controller;
 };
 
-TEST_F(cuts_that_wait_for_proof, count_as_one_end_of_each_life)
+TEST_F(cuts_that_wait_for_proof, count_as_one_crash_of_each_life)
 {
     controller.on_cuts(at(120), cut(10, 100));
     // Retries connect while the runner restarts and are cut as well, also those of other daemons.
@@ -118,7 +118,7 @@
     EXPECT_EQ(count(), 1);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_the_same_end_as_one_that_another_daemon_saw_refused)
+TEST_F(cuts_that_wait_for_proof, are_the_same_crash_as_one_that_another_daemon_proved)
 {
     auto refused = cut(10, 100);
     controller.on_report(refused);
@@ -127,7 +127,7 @@
     EXPECT_EQ(count(), 1);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_nothing_once_the_request_was_answered)
+TEST_F(cuts_that_wait_for_proof, do_not_count_once_the_request_was_answered)
 {
     controller.on_cuts(at(120), cut(10, 100));
     crash_histories answer;
@@ -138,7 +138,7 @@
 }
 
 // Guards against quarantining sound requests whose connections the network resets.
-TEST_F(cuts_that_wait_for_proof, prove_nothing_while_the_runner_lives_on)
+TEST_F(cuts_that_wait_for_proof, do_not_count_while_the_runner_stays_in_one_life)
 {
     for (int n = 0; n < 20; ++n) {
         controller.on_cuts(at(n * 100 + 60), cut(n * 100, n * 100 + 40));
@@ -148,7 +148,7 @@
     EXPECT_EQ(count(), 0);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_reported_again_to_no_effect)
+TEST_F(cuts_that_wait_for_proof, count_once_when_they_are_reported_again)
 {
     controller.on_cuts(at(120), cut(10, 100));
     controller.on_heard(at(600), runner, second);
