--- a/include/cedarpoint/rate_limits/permit_allocator.h
+++ b/include/cedarpoint/rate_limits/permit_allocator.h
@@ -47,21 +47,22 @@
     };
     struct limit {
         rate_limit_record record;
-        double budget = 0;      ///< permits that may be issued, including a fraction of one
-        instant filled_at;      ///< when `budget` was last increased by the rate
-        std::deque<batch> open; ///< permits that were issued and may still be used, oldest first
+        double budget = 0;   ///< permits that may be issued, including a fraction of one
+        instant refilled_at; ///< when `budget` was last increased by the rate
+        /// Permits that were issued and may still be used, oldest first.
+        std::deque<batch> outstanding_batches;
         std::map<daemon_id, share> shares;
 
         /// Returns the upper bound of `budget`.
-        [[nodiscard]] double most_kept(instant now) const;
-        /// Returns how many more permits may be open.
-        [[nodiscard]] double room(instant now) const;
-        /// Removes `count` open permits, oldest first: they were used or have expired.
-        void close(std::uint32_t count);
+        [[nodiscard]] double budget_capacity(instant now) const;
+        /// Returns how many more permits may be outstanding.
+        [[nodiscard]] double outstanding_headroom(instant now) const;
+        /// Removes `count` outstanding permits, oldest first: they were used or have expired.
+        void retire(std::uint32_t count);
     };
 
-    static void take(instant now, const rate_limit_observation& in, limit& into);
-    static void fill(instant now, limit& of);
+    static void merge_observation(instant now, const rate_limit_observation& in, limit& into);
+    static void refill(instant now, limit& of);
     void issue(instant now, limit& of);
     void divide(std::uint32_t count, const std::vector<share*>& takers,
                 const std::vector<double>& weights);
--- a/include/cedarpoint/rate_limits/rate_limit.h
+++ b/include/cedarpoint/rate_limits/rate_limit.h
@@ -24,7 +24,7 @@
 
 /// Lowest rate at which a limited runner is sent requests, even if it names a lower one: a runner
 /// that gets no requests has no answers in which to lift its limit.
-inline constexpr request_rate least_request_rate{0.5};
+inline constexpr request_rate min_request_rate{0.5};
 
 /// Parses a decimal number. Returns an empty value for anything else, and for negative or infinite
 /// numbers.
@@ -56,8 +56,8 @@
 /// the harm until the next answer if the end was inferred wrongly.
 class rate_limit_record {
 public:
-    /// Records an answer received at `heard_at` that names a limit.
-    void on_named(instant now, request_rate rate, instant heard_at);
+    /// Records an answer received at `received_at` that names a limit.
+    void on_named(instant now, request_rate rate, instant received_at);
     /// Records an answer to a request sent at `sent_at` that names no limit.
     void on_not_named(instant now, instant sent_at);
     void merge(instant now, const rate_limit_record& in);
@@ -76,7 +76,7 @@
     [[nodiscard]] std::optional<instant> not_named_at() const { return not_named_at_; }
 
 private:
-    void settle(instant now);
+    void update_end(instant now);
 
     request_rate rate_;
     std::optional<instant> named_at_;
--- a/include/cedarpoint/rate_limits/send_permits.h
+++ b/include/cedarpoint/rate_limits/send_permits.h
@@ -64,25 +64,25 @@
     struct batch {
         instant expires_at;
         std::uint32_t count = 0;
-        bool of_leader = false; ///< issued by the leader, which issues expired ones again
+        bool is_from_leader = false; ///< issued by the leader, which issues expired ones again
     };
     struct limit {
-        rate_limit_record record;         ///< from answers to this daemon
-        std::optional<request_rate> told; ///< by the leader
+        rate_limit_record record;                ///< from answers to this daemon
+        std::optional<request_rate> leader_rate; ///< as the leader reported it last
         /// When the latest report was made whose answer contains the limit; before that, when this
         /// daemon received the first answer that names it.
-        instant leader_heard_at;
-        std::deque<batch> permits;          ///< soonest to expire first
-        std::optional<instant> next_own_at; ///< when to issue the next own permit
+        instant leader_reported_at;
+        std::deque<batch> permits;                 ///< soonest to expire first
+        std::optional<instant> next_own_permit_at; ///< when to issue the next own permit
         std::uint32_t wanted = 0;
         std::uint32_t used = 0;
         std::uint32_t unused = 0;
     };
 
     static void drop_expired(instant now, limit& of);
-    void make_own(instant now, limit& of);
-    [[nodiscard]] duration own_interval(instant now, const limit& of) const;
-    [[nodiscard]] duration draw_within(duration interval);
+    void issue_own_permits(instant now, limit& of);
+    [[nodiscard]] duration own_permit_interval(instant now, const limit& of) const;
+    [[nodiscard]] duration draw_up_to(duration interval);
 
     std::map<runner_id, limit> limits_;
     own_permit_options options_;
--- a/src/rate_limits/rate_limit.cpp
+++ b/src/rate_limits/rate_limit.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 /// After a limit has ended, the allowed rate starts at the limit, or at this rate if the limit was
-/// lower. It doubles every `doubling_time`, and becomes unlimited after `growing_time`.
-constexpr request_rate first_rate_after_end{1};
-constexpr duration doubling_time = milliseconds{500};
-constexpr duration growing_time = seconds{3};
+/// lower. It doubles every `recovery_doubling_time`, and becomes unlimited after `recovery_time`.
+constexpr request_rate initial_recovery_rate{1};
+constexpr duration recovery_doubling_time = milliseconds{500};
+constexpr duration recovery_time = seconds{3};
 
 double in_seconds(duration in)
 {
@@ -46,22 +46,22 @@
     return out;
 }
 
-void rate_limit_record::on_named(instant now, request_rate rate, instant heard_at)
+void rate_limit_record::on_named(instant now, request_rate rate, instant received_at)
 {
-    if (!named_at_ || heard_at > *named_at_) {
+    if (!named_at_ || received_at > *named_at_) {
         rate_ = rate;
-        named_at_ = heard_at;
+        named_at_ = received_at;
     }
-    else if (heard_at == *named_at_) {
+    else if (received_at == *named_at_) {
         rate_ = std::min(rate_, rate);
     }
-    settle(now);
+    update_end(now);
 }
 
 void rate_limit_record::on_not_named(instant now, instant sent_at)
 {
     not_named_at_ = not_named_at_ ? std::max(*not_named_at_, sent_at) : sent_at;
-    settle(now);
+    update_end(now);
 }
 
 void rate_limit_record::merge(instant now, const rate_limit_record& in)
@@ -74,7 +74,7 @@
     }
 }
 
-void rate_limit_record::settle(instant now)
+void rate_limit_record::update_end(instant now)
 {
     if (is_limited()) {
         ended_at_.reset();
@@ -91,17 +91,17 @@
 
 bool rate_limit_record::is_over(instant now) const
 {
-    return ended_at_ && now - *ended_at_ >= growing_time;
+    return ended_at_ && now - *ended_at_ >= recovery_time;
 }
 
 request_rate rate_limit_record::allowed(instant now) const
 {
-    const auto held = std::max(rate_, least_request_rate);
+    const auto held = std::max(rate_, min_request_rate);
     if (!ended_at_) {
         return held;
     }
-    const auto doublings = in_seconds(now - *ended_at_) / in_seconds(doubling_time);
-    return {std::max(held, first_rate_after_end).per_second * std::exp2(doublings)};
+    const auto doublings = in_seconds(now - *ended_at_) / in_seconds(recovery_doubling_time);
+    return {std::max(held, initial_recovery_rate).per_second * std::exp2(doublings)};
 }
 
 } // namespace cedarpoint
--- a/src/rate_limits/send_permits.cpp
+++ b/src/rate_limits/send_permits.cpp
@@ -12,7 +12,7 @@
 constexpr duration permit_lifetime = milliseconds{800};
 
 /// If the leader has not reported the limit for this long, the daemon issues its own permits.
-constexpr duration leader_patience = seconds{1};
+constexpr duration leader_timeout = seconds{1};
 
 } // namespace
 
@@ -26,7 +26,7 @@
     }
     if (found == limits_.end()) {
         found = limits_.emplace(runner, limit{}).first;
-        found->second.leader_heard_at = now;
+        found->second.leader_reported_at = now;
     }
     auto& own = found->second;
     const bool was_limited = own.record.is_limited();
@@ -47,12 +47,12 @@
 {
     for (const auto& [runner, grant] : in) {
         auto& own = limits_[runner];
-        if (own.told && grant.rate < *own.told) {
+        if (own.leader_rate && grant.rate < *own.leader_rate) {
             own.permits.clear(); // issued for more than the runner takes now
         }
-        own.told = grant.rate;
-        own.leader_heard_at = std::max(own.leader_heard_at, asked_at);
-        own.next_own_at.reset();
+        own.leader_rate = grant.rate;
+        own.leader_reported_at = std::max(own.leader_reported_at, asked_at);
+        own.next_own_permit_at.reset();
         if (grant.permits > 0) {
             own.permits.push_back({asked_at + permit_lifetime, grant.permits, true});
         }
@@ -71,14 +71,14 @@
         return true;
     }
     auto& own = found->second;
-    const bool leader_speaks = now - own.leader_heard_at <= leader_patience;
-    if (!leader_speaks && own.record.is_over(now)) {
+    const bool has_leader = now - own.leader_reported_at <= leader_timeout;
+    if (!has_leader && own.record.is_over(now)) {
         limits_.erase(found);
         return true;
     }
     ++own.wanted;
-    if (!leader_speaks) {
-        make_own(now, own);
+    if (!has_leader) {
+        issue_own_permits(now, own);
     }
     drop_expired(now, own);
     return !own.permits.empty();
@@ -95,7 +95,7 @@
     if (permits.empty()) {
         return;
     }
-    found->second.used += permits.front().of_leader ? 1 : 0;
+    found->second.used += permits.front().is_from_leader ? 1 : 0;
     if (--permits.front().count == 0) {
         permits.pop_front();
     }
@@ -104,8 +104,8 @@
 void send_permits::drop_expired(instant now, limit& of)
 {
     while (!of.permits.empty() && of.permits.front().expires_at <= now) {
-        const auto& gone = of.permits.front();
-        of.unused += gone.of_leader ? gone.count : 0;
+        const auto& expired = of.permits.front();
+        of.unused += expired.is_from_leader ? expired.count : 0;
         of.permits.pop_front();
     }
 }
@@ -113,7 +113,7 @@
 request_rate send_permits::rate_of(const runner_id& runner) const
 {
     const auto& own = limits_.at(runner);
-    return own.record.named_at() ? own.record.rate() : own.told.value_or(request_rate{});
+    return own.record.named_at() ? own.record.rate() : own.leader_rate.value_or(request_rate{});
 }
 
 rate_limit_sightings send_permits::take_observations(instant now)
@@ -138,34 +138,35 @@
 
 // --- without a leader ---------------------------------------------------------------------------
 
-duration send_permits::own_interval(instant now, const limit& of) const
+duration send_permits::own_permit_interval(instant now, const limit& of) const
 {
     const auto rate = of.record.allowed(now).per_second * options_.used_part;
     const auto seconds = static_cast<double>(options_.daemons) / rate;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>{seconds});
 }
 
-duration send_permits::draw_within(duration interval)
+duration send_permits::draw_up_to(duration interval)
 {
     return duration{std::uniform_int_distribution<duration::rep>{0, interval.count()}(random_)};
 }
 
-void send_permits::make_own(instant now, limit& of)
+void send_permits::issue_own_permits(instant now, limit& of)
 {
     if (options_.daemons == 0) {
         return;
     }
-    if (!of.record.named_at() && of.told) {
-        of.record.on_named(now, *of.told, of.leader_heard_at); // known only from the leader
+    if (!of.record.named_at() && of.leader_rate) {
+        // The limit is known only from the leader.
+        of.record.on_named(now, *of.leader_rate, of.leader_reported_at);
     }
-    const auto interval = own_interval(now, of);
-    const bool rested = of.next_own_at && *of.next_own_at + permit_lifetime < now;
-    if (!of.next_own_at || rested) {
-        of.next_own_at = now + draw_within(interval);
+    const auto interval = own_permit_interval(now, of);
+    const bool was_idle = of.next_own_permit_at && *of.next_own_permit_at + permit_lifetime < now;
+    if (!of.next_own_permit_at || was_idle) {
+        of.next_own_permit_at = now + draw_up_to(interval);
     }
-    while (*of.next_own_at <= now) {
-        of.permits.push_back({*of.next_own_at + permit_lifetime, 1, false});
-        *of.next_own_at += interval;
+    while (*of.next_own_permit_at <= now) {
+        of.permits.push_back({*of.next_own_permit_at + permit_lifetime, 1, false});
+        *of.next_own_permit_at += interval;
     }
 }
 
--- a/tests/rate_limits/limited_fleet_test.cpp
+++ b/tests/rate_limits/limited_fleet_test.cpp
@@ -26,13 +26,13 @@
 using testing_support::platform_runner;
 
 // The guarantee to a runner that names a limit, once `first_named_for` has passed: in any `window`
-// the daemons that have had the limit for `told_for` send it at most `allowed_factor` times the
-// requests that the rate allows, plus `allowed_more`.
+// the daemons that have had the limit for `informed_for` send it at most `allowed_factor` times the
+// requests that the rate allows, plus `allowed_extra`.
 constexpr duration window = seconds{4};
-constexpr duration told_for = milliseconds{500};
+constexpr duration informed_for = milliseconds{500};
 constexpr duration first_named_for = seconds{3};
 constexpr double allowed_factor = 1.5;
-constexpr double allowed_more = 5;
+constexpr double allowed_extra = 5;
 
 /// Longest time for a refusal when all runners are known to be at their limits.
 constexpr duration at_once = milliseconds{500};
@@ -50,19 +50,19 @@
 
 /// Returns the highest number of counted requests at a runner in any window that ends at or after
 /// `from`, as a fraction of what the guarantee allows for a limit of `rate`.
-double worst_use(const platform_runner& runner, double rate, instant from)
+double highest_use(const platform_runner& runner, double rate, instant from)
 {
-    std::map<int, instant> told_at;
+    std::map<int, instant> informed_at;
     std::vector<instant> counted;
     double worst = 0;
     for (const auto& each : runner.arrivals) {
         const int sender = sender_of(each.request);
-        if (const auto first = told_at.find(sender);
-            first != told_at.end() && each.at - first->second >= told_for) {
+        if (const auto first = informed_at.find(sender);
+            first != informed_at.end() && each.at - first->second >= informed_for) {
             counted.push_back(each.at);
         }
         if (each.told) {
-            told_at.emplace(sender, each.at);
+            informed_at.emplace(sender, each.at);
         }
     }
     for (auto end = counted.begin(); end != counted.end(); ++end) {
@@ -71,7 +71,7 @@
             worst = std::max(worst, static_cast<double>(end - first + 1));
         }
     }
-    return worst / (allowed_factor * rate * 4 + allowed_more);
+    return worst / (allowed_factor * rate * 4 + allowed_extra);
 }
 
 struct site_shape {
@@ -137,7 +137,7 @@
     const auto named = steady_now();
     limited.rate_limit = fmt::format("{}", rate);
     pass_time(seconds{9});
-    EXPECT_LE(worst_use(limited, rate, named + first_named_for), 1);
+    EXPECT_LE(highest_use(limited, rate, named + first_named_for), 1);
     EXPECT_GT(arrivals_since(limited, named + seconds{3}), rate * 6 * 0.4)
         << "the allowed rate is used";
     EXPECT_GT(callers->served_share(named, steady_now()), 0.98) << "the others take the rest";
@@ -150,7 +150,7 @@
     pass_time(seconds{5});
     fleet.start(*lost, false);
     pass_time(seconds{3});
-    EXPECT_LE(worst_use(limited, rate, killed), 1);
+    EXPECT_LE(highest_use(limited, rate, killed), 1);
     EXPECT_GT(arrivals_since(limited, killed + seconds{3}), 0) << "under the next leader as well";
 
     // The runner names a lower limit.
@@ -158,7 +158,7 @@
     limited.rate_limit = fmt::format("{}", lower);
     const auto changed = steady_now();
     pass_time(seconds{8});
-    EXPECT_LE(worst_use(limited, lower, changed + window + told_for), 1);
+    EXPECT_LE(highest_use(limited, lower, changed + window + informed_for), 1);
 
     // The runner stops naming a limit.
     limited.rate_limit.clear();
@@ -179,7 +179,7 @@
     pass_time(seconds{9});
     double used = 0;
     for (const auto& runner : runners) {
-        EXPECT_LE(worst_use(*runner, rate, named + first_named_for), 1) << runner->id();
+        EXPECT_LE(highest_use(*runner, rate, named + first_named_for), 1) << runner->id();
         used += static_cast<double>(arrivals_since(*runner, named + seconds{3}));
     }
     EXPECT_GT(used, rate * 3 * 6 * 0.6) << "the allowed rate is used";
--- a/tests/rate_limits/permit_division_test.cpp
+++ b/tests/rate_limits/permit_division_test.cpp
@@ -22,9 +22,9 @@
 constexpr duration window = seconds{4};
 
 /// Simulates one runner that names a limit, entry daemons with requests for it, and a leader.
-class limited_world {
+class rate_limit_simulation {
 public:
-    limited_world(std::size_t daemons, double wanted_per_second, std::uint64_t seed)
+    rate_limit_simulation(std::size_t daemons, double wanted_per_second, std::uint64_t seed)
         : wanted_per_second_{wanted_per_second}, random_{seed}
     {
         leader_.clear(seed);
@@ -49,7 +49,7 @@
     }
 
     /// All daemons learn the limit at once, as if each had just received an answer.
-    void name_to_all(double rate)
+    void announce_to_all(double rate)
     {
         named_rate = rate;
         for (auto& each : daemons_) {
@@ -61,7 +61,7 @@
 
     /// Returns the highest number of requests that the runner received in any window that ends at
     /// or after `from`.
-    [[nodiscard]] std::size_t worst_window(instant from) const
+    [[nodiscard]] std::size_t max_requests_in_window(instant from) const
     {
         std::size_t worst = 0;
         for (auto end = arrivals_.begin(); end != arrivals_.end(); ++end) {
@@ -85,10 +85,10 @@
     }
     [[nodiscard]] instant now() const { return now_; }
 
-    double named_rate = 0;      ///< limit that the runner names in its answers; 0: none
-    bool leader_speaks = true;  ///< false: there is no leader, or no daemon can reach it
-    std::size_t cut_off = 0;    ///< number of daemons, from the first, that can't reach the leader
-    std::size_t busy_share = 1; ///< one of this many daemons has requests
+    double named_rate = 0;   ///< limit that the runner names in its answers; 0: none
+    bool has_leader = true;  ///< false: there is no leader, or no daemon can reach it
+    std::size_t cut_off = 0; ///< number of daemons, from the first, that can't reach the leader
+    std::size_t daemons_per_busy_one = 1; ///< one of this many daemons has requests
 
 private:
     struct daemon {
@@ -114,9 +114,9 @@
         return duration{std::uniform_int_distribution<duration::rep>{0, most.count()}(random_)};
     }
 
-    [[nodiscard]] bool hears_leader(const daemon& of) const
+    [[nodiscard]] bool reaches_leader(const daemon& of) const
     {
-        return leader_speaks && &of >= &daemons_[std::min(cut_off, daemons_.size() - 1)];
+        return has_leader && &of >= &daemons_[std::min(cut_off, daemons_.size() - 1)];
     }
 
     void report_if_due(daemon& from)
@@ -127,7 +127,7 @@
         from.next_report = now_ + report_interval;
         from.report = from.permits->take_observations(now_);
         from.asked_at = now_;
-        if (hears_leader(from)) {
+        if (reaches_leader(from)) {
             from.answer_due = now_ + message_delay + draw(message_delay);
         }
     }
@@ -145,10 +145,11 @@
     void send_requests(daemon& from)
     {
         const auto which = static_cast<std::size_t>(&from - daemons_.data());
-        if (which % busy_share != 0) {
+        if (which % daemons_per_busy_one != 0) {
             return;
         }
-        const auto busy = static_cast<double>(daemons_.size()) / static_cast<double>(busy_share);
+        const auto busy =
+            static_cast<double>(daemons_.size()) / static_cast<double>(daemons_per_busy_one);
         const auto mean = wanted_per_second_ / busy * std::chrono::duration<double>(step).count();
         for (int left = std::poisson_distribution<int>{mean}(random_); left > 0; --left) {
             if (from.permits->may_send(now_, runner_)) {
@@ -187,59 +188,59 @@
     /// Requests per second of all daemons: ten times the rate, and at least two for each daemon,
     /// as users have for a plain service. At least 20, so that random variation does not decide.
     double wanted = std::max({10 * rate, 2.0 * static_cast<double>(daemons), 20.0});
-    limited_world world{daemons, wanted, std::get<2>(GetParam())};
+    rate_limit_simulation world{daemons, wanted, std::get<2>(GetParam())};
 };
 
 TEST_P(a_divided_rate, is_kept_in_every_window_and_used)
 {
-    world.name_to_all(rate);
+    world.announce_to_all(rate);
     world.run(seconds{30});
-    EXPECT_LE(static_cast<double>(world.worst_window(start + seconds{1})), allowed(rate));
+    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
     EXPECT_GE(world.arrivals_per_second(start + seconds{2}), 0.8 * rate);
 }
 
 TEST_P(a_divided_rate, is_kept_while_leaders_change_and_while_there_is_none)
 {
-    world.name_to_all(rate);
+    world.announce_to_all(rate);
     world.run(seconds{5});
     for (int each = 0; each < 4; ++each) {
-        world.leader_speaks = false;
+        world.has_leader = false;
         world.run(milliseconds{700});
         world.change_leader();
-        world.leader_speaks = true;
+        world.has_leader = true;
         world.run(seconds{3});
     }
-    world.leader_speaks = false;
+    world.has_leader = false;
     world.run(seconds{20});
-    EXPECT_LE(static_cast<double>(world.worst_window(start + seconds{1})), allowed(rate));
-    world.leader_speaks = true;
+    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
+    world.has_leader = true;
     world.change_leader();
     const auto back = world.now();
     world.run(seconds{10});
-    EXPECT_LE(static_cast<double>(world.worst_window(back)), allowed(rate));
+    EXPECT_LE(static_cast<double>(world.max_requests_in_window(back)), allowed(rate));
 }
 
 TEST_P(a_divided_rate, is_kept_while_a_part_of_the_daemons_is_cut_off_from_the_leader)
 {
-    world.name_to_all(rate);
+    world.announce_to_all(rate);
     world.run(seconds{5});
     world.cut_off = daemons / 3;
     world.run(seconds{20});
-    EXPECT_LE(static_cast<double>(world.worst_window(start + seconds{1})), allowed(rate));
+    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
 }
 
 TEST_P(a_divided_rate, goes_to_the_daemons_that_have_requests)
 {
-    world.busy_share = 4;
-    world.name_to_all(rate);
+    world.daemons_per_busy_one = 4;
+    world.announce_to_all(rate);
     world.run(seconds{30});
-    EXPECT_LE(static_cast<double>(world.worst_window(start + seconds{1})), allowed(rate));
+    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
     EXPECT_GE(world.arrivals_per_second(start + seconds{2}), 0.8 * rate);
 }
 
 TEST_P(a_divided_rate, grows_after_its_end_and_is_unbounded_within_seconds)
 {
-    world.name_to_all(rate);
+    world.announce_to_all(rate);
     world.run(seconds{10});
     world.named_rate = 0;
     const auto ended = world.now();
@@ -269,7 +270,7 @@
                                                 std::get<2>(each.param));
                          });
 
-TEST(a_daemon_with_permits, sends_nothing_from_the_naming_on_until_it_has_one)
+TEST(a_daemon_with_permits, sends_nothing_once_a_limit_is_named_until_it_has_a_permit)
 {
     send_permits it{own_permit_options{.seed = 1}};
     const runner_id runner{"i-1"};
@@ -313,7 +314,7 @@
     EXPECT_TRUE(it.may_send(start + milliseconds{410}, runner));
 }
 
-TEST(a_daemon_with_permits, makes_none_of_its_own_while_it_does_not_know_how_many_share_the_rate)
+TEST(a_daemon_with_permits, issues_none_of_its_own_while_the_number_of_daemons_is_unknown)
 {
     send_permits it{own_permit_options{.seed = 1}};
     const runner_id runner{"i-1"};
--- a/tests/rate_limits/rate_limit_test.cpp
+++ b/tests/rate_limits/rate_limit_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(read_rate_limit({"1e300"}).kind, kind_t::absent) << "too high to be a limit";
 }
 
-TEST(a_rate_limit, ends_only_with_an_answer_that_was_surely_made_later)
+TEST(a_rate_limit, ends_only_with_an_answer_that_was_certainly_made_later)
 {
     rate_limit_record it;
     EXPECT_FALSE(it.is_limited());
@@ -53,7 +53,7 @@
     EXPECT_EQ(it.rate(), request_rate{3}) << "received before the latest";
 }
 
-TEST(a_rate_limit, is_the_same_in_whatever_order_it_is_put_together)
+TEST(a_rate_limit, is_the_same_in_any_order_of_merging)
 {
     rate_limit_record named;
     named.on_named(start, {2}, start);
@@ -94,11 +94,11 @@
     EXPECT_EQ(it.allowed(end + seconds{4}), request_rate{2}) << "named again";
 }
 
-TEST(a_rate_limit, of_nothing_still_lets_a_request_through_now_and_then)
+TEST(a_rate_limit, of_zero_still_allows_the_lowest_rate)
 {
     rate_limit_record it;
     it.on_named(start, {0}, start);
-    EXPECT_EQ(it.allowed(start), least_request_rate);
+    EXPECT_EQ(it.allowed(start), min_request_rate);
 }
 
 } // namespace
