--- a/include/cedarpoint/runner_signals/pause_reading.h
+++ b/include/cedarpoint/runner_signals/pause_reading.h
@@ -9,7 +9,7 @@
 
 /// Longer pauses are shortened to this. A runner that asks for more is faulty or will not recover
 /// without a restart; until an operator intervenes, each daemon tries it once per this time.
-inline constexpr duration longest_pause = std::chrono::hours{1};
+inline constexpr duration max_pause = std::chrono::hours{1};
 
 /// The Retry-After headers of a 503: how long the runner asks this daemon to send it no requests.
 struct pause_reading {
@@ -19,7 +19,7 @@
         unreadable ///< the value is not a time in seconds; it is ignored
     };
     kind_t kind = kind_t::absent;
-    duration time{}; ///< above 0, at most `longest_pause`
+    duration time{}; ///< above 0, at most `max_pause`
 };
 
 /// `values`: the value of each Retry-After header, in seconds with or without a fraction, or a
--- a/include/cedarpoint/runner_signals/send_holds.h
+++ b/include/cedarpoint/runner_signals/send_holds.h
@@ -63,8 +63,8 @@
     };
 
     [[nodiscard]] hold& hold_of(instant now, const runner_id& runner, birth life);
-    static void begin_life(instant now, birth life, hold& of);
-    [[nodiscard]] static bool is_over(instant now, const hold& in);
+    static void reset_for_new_life(instant now, birth life, hold& of);
+    [[nodiscard]] static bool is_expired(instant now, const hold& in);
 
     std::map<runner_id, birth> lives_; ///< of the runners in the current view
     std::map<runner_id, hold> holds_;
--- a/src/runner_signals/answer_signals.cpp
+++ b/src/runner_signals/answer_signals.cpp
@@ -7,14 +7,14 @@
 namespace cedarpoint {
 namespace {
 
-constexpr std::string_view leaves = "1";
+constexpr std::string_view leaving_value = "1";
 
 leave_reading read_leave(const std::vector<std::string_view>& values)
 {
     if (values.empty()) {
         return leave_reading::absent;
     }
-    const bool found = std::find(values.begin(), values.end(), leaves) != values.end();
+    const bool found = std::find(values.begin(), values.end(), leaving_value) != values.end();
     return found ? leave_reading::leaving : leave_reading::unreadable;
 }
 
--- a/src/runner_signals/pause_reading.cpp
+++ b/src/runner_signals/pause_reading.cpp
@@ -27,7 +27,7 @@
 /// Rounds up, so that a pause never ends before the requested time.
 duration to_pause(double seconds)
 {
-    const auto most = std::chrono::duration<double>{longest_pause};
+    const auto most = std::chrono::duration<double>{max_pause};
     const auto asked = std::min(std::chrono::duration<double>{seconds}, most);
     return std::chrono::ceil<duration>(asked);
 }
--- a/src/runner_signals/send_holds.cpp
+++ b/src/runner_signals/send_holds.cpp
@@ -11,7 +11,7 @@
 constexpr duration view_delay = seconds{1};
 
 /// A leaving runner that has been absent from the view for this long is taken to have ended.
-constexpr duration forget_after = seconds{60};
+constexpr duration leave_retention = seconds{60};
 
 } // namespace
 
@@ -21,7 +21,7 @@
     const auto latest = seen == lives_.end() ? life : std::max(life, seen->second);
     auto& out = holds_.try_emplace(runner, hold{latest, {}, {}, false, {}}).first->second;
     if (latest > out.life) {
-        begin_life(now, latest, out);
+        reset_for_new_life(now, latest, out);
     }
     if (out.absent_since) {
         out.absent_since = now; // the runner answers, so it has not ended
@@ -31,7 +31,7 @@
 
 void send_holds::on_pause(instant now, const runner_id& runner, birth life, duration time)
 {
-    std::erase_if(holds_, [now](const auto& each) { return is_over(now, each.second); });
+    std::erase_if(holds_, [now](const auto& each) { return is_expired(now, each.second); });
     auto& own = hold_of(now, runner, life);
     own.paused_at = now;
     own.paused_until = std::max(own.paused_until, now + time);
@@ -46,7 +46,7 @@
     return !std::exchange(own.leaving, true);
 }
 
-void send_holds::begin_life(instant now, birth life, hold& of)
+void send_holds::reset_for_new_life(instant now, birth life, hold& of)
 {
     of.life = life;
     // A leaving runner signals this in every answer, so one request is enough to detect it again.
@@ -60,7 +60,7 @@
 {
     const auto found = holds_.find(runner);
     if (found != holds_.end() && life > found->second.life) {
-        begin_life(now, life, found->second);
+        reset_for_new_life(now, life, found->second);
     }
 }
 
@@ -76,12 +76,12 @@
         own.absent_since.reset();
         on_life(now, runner, found->second);
     }
-    std::erase_if(holds_, [now](const auto& each) { return is_over(now, each.second); });
+    std::erase_if(holds_, [now](const auto& each) { return is_expired(now, each.second); });
 }
 
-bool send_holds::is_over(instant now, const hold& in)
+bool send_holds::is_expired(instant now, const hold& in)
 {
-    const bool has_ended = in.absent_since && now - *in.absent_since > forget_after;
+    const bool has_ended = in.absent_since && now - *in.absent_since > leave_retention;
     return now >= in.paused_until && (!in.leaving || has_ended);
 }
 
--- a/tests/runner_signals/answer_signals_test.cpp
+++ b/tests/runner_signals/answer_signals_test.cpp
@@ -36,10 +36,10 @@
     EXPECT_EQ(pause_of({"soon", "2"}), seconds{2});
 }
 
-TEST(the_pause_that_a_runner_asks_for, has_an_end)
+TEST(the_pause_that_a_runner_asks_for, is_bounded)
 {
-    EXPECT_EQ(pause_of({"31536000"}), longest_pause);
-    EXPECT_EQ(pause_of({"1e300"}), longest_pause);
+    EXPECT_EQ(pause_of({"31536000"}), max_pause);
+    EXPECT_EQ(pause_of({"1e300"}), max_pause);
 }
 
 TEST(the_pause_that_a_runner_asks_for, changes_nothing_if_it_can_not_be_read)
@@ -50,7 +50,7 @@
     }
 }
 
-TEST(the_pause_that_a_runner_asks_for, is_none_if_it_has_no_length)
+TEST(the_pause_that_a_runner_asks_for, is_absent_if_it_is_zero)
 {
     EXPECT_EQ(read_503({"0"}).pause.kind, kind_t::absent);
     EXPECT_EQ(read_503({}).pause.kind, kind_t::absent);
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(the_leave_of_a_runner, is_told_with_any_status)
+TEST(the_leave_of_a_runner, is_read_with_any_status)
 {
     for (const int status : {200, 404, 429, 500, 503}) {
         EXPECT_EQ(read_answer_signals({status, {}, {}, {"1"}}).leave, leave_reading::leaving);
@@ -75,7 +75,7 @@
     }
 }
 
-TEST(an_answer_of_another_runner, says_nothing_of_the_expected_one)
+TEST(an_answer_of_another_runner, sets_no_signals_of_the_expected_one)
 {
     const auto read = read_answer_signals({421, {"1"}, {"3"}, {"1"}});
     EXPECT_TRUE(read.is_of_other_runner);
--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -111,7 +111,7 @@
         }
     }
 
-    [[nodiscard]] int count_within() const
+    [[nodiscard]] int count_requests_in_pauses() const
     {
         int out = 0;
         for (const auto& each : pauses) {
@@ -120,7 +120,7 @@
         return out;
     }
 
-    [[nodiscard]] int count_asked() const
+    [[nodiscard]] int count_pauses() const
     {
         int out = 0;
         for (const auto& each : pauses) {
@@ -200,8 +200,8 @@
     fleet.start(*lost, false);
     pass_time_with_pauses(seconds{2});
 
-    EXPECT_EQ(count_within(), 0);
-    EXPECT_GT(count_asked(), GetParam().entry_daemons) << "enough pauses were asked for";
+    EXPECT_EQ(count_requests_in_pauses(), 0);
+    EXPECT_GT(count_pauses(), GetParam().entry_daemons) << "enough pauses were asked for";
     EXPECT_GT(callers->served_share(began, steady_now()), 0.99) << "the others serve meanwhile";
 }
 
@@ -216,7 +216,7 @@
     pass_time(seconds{2}); // by then each daemon has asked all four
     const auto all_paused = steady_now();
     pass_time(seconds{2});
-    EXPECT_EQ(count_within(), 0);
+    EXPECT_EQ(count_requests_in_pauses(), 0);
     int refused = 0;
     for (const auto& each : callers->results) {
         if (each.status != refused_status || each.ended < all_paused) {
@@ -232,7 +232,7 @@
 
     // The pauses end; all are served again.
     pass_time(seconds{4});
-    EXPECT_EQ(count_within(), 0);
+    EXPECT_EQ(count_requests_in_pauses(), 0);
     EXPECT_GT(callers->served_share(steady_now() - seconds{1}, steady_now()), 0.99);
 }
 
@@ -243,7 +243,7 @@
         pauses[0]->ask(sender, seconds{60});
     }
     pass_time(seconds{3});
-    EXPECT_EQ(count_within(), 0);
+    EXPECT_EQ(count_requests_in_pauses(), 0);
     runners[0]->crash();
     pass_time(runners[0]->time_away);
     const auto before = pauses[0]->arrivals.size();
--- a/tests/runner_signals/random_holds_test.cpp
+++ b/tests/runner_signals/random_holds_test.cpp
@@ -14,7 +14,7 @@
 constexpr int seeds = 200;
 constexpr int steps = 400;
 /// A runner that is absent from the view for longer is taken to have ended.
-constexpr duration forget_after = seconds{60};
+constexpr duration leave_retention = seconds{60};
 
 class random_holds {
 public:
@@ -38,7 +38,7 @@
             show();
             break;
         case 5:
-            tell_leave(any_runner());
+            signal_leave(any_runner());
             break;
         default:
             ask_for_pause(any_runner());
@@ -52,9 +52,9 @@
         runner_id id;
         birth life{1};
         birth viewed{1};
-        instant wants_nothing_until;         ///< end of the pause of this life
+        instant paused_until;                ///< end of the pause of this life
         instant latest_pause_end;            ///< of any life
-        bool has_left = false;               ///< has signalled a leave since this life is viewed
+        bool is_leaving = false;             ///< has signalled a leave since this life is viewed
         std::optional<instant> absent_since; ///< from the view
     };
 
@@ -74,23 +74,23 @@
         note_answer(of);
         const milliseconds time{1 + draw(4000)};
         holds_.on_pause(now_, of.id, of.viewed, time);
-        of.wants_nothing_until = std::max(of.wants_nothing_until, now_ + time);
+        of.paused_until = std::max(of.paused_until, now_ + time);
         of.latest_pause_end = std::max(of.latest_pause_end, now_ + time);
     }
 
-    void tell_leave(runner_facts& of)
+    void signal_leave(runner_facts& of)
     {
         note_answer(of);
         holds_.on_leaving(now_, of.id, of.viewed);
-        of.has_left = of.has_left || of.viewed == of.life;
+        of.is_leaving = of.is_leaving || of.viewed == of.life;
     }
 
     /// Starts a new life, which the view contains within a second.
     void begin_life(runner_facts& of)
     {
         ++of.life.value;
-        of.wants_nothing_until = {};
-        of.has_left = false;
+        of.paused_until = {};
+        of.is_leaving = false;
         show_at_ = std::min(show_at_, now_ + milliseconds{draw(900)});
     }
 
@@ -124,13 +124,13 @@
     void check()
     {
         for (auto& each : runners_) {
-            const bool has_ended = each.absent_since && now_ - *each.absent_since > forget_after;
-            each.has_left = each.has_left && !has_ended;
+            const bool has_ended = each.absent_since && now_ - *each.absent_since > leave_retention;
+            each.is_leaving = each.is_leaving && !has_ended;
             const auto found = holds_.find(now_, each.id);
-            if (now_ < each.wants_nothing_until) {
+            if (now_ < each.paused_until) {
                 EXPECT_NE(found, send_hold::none) << each.id.str();
             }
-            if (each.has_left && is_shown_) {
+            if (each.is_leaving && is_shown_) {
                 EXPECT_EQ(found, send_hold::leaving) << each.id.str();
             }
             if (now_ >= each.latest_pause_end) {
@@ -147,7 +147,7 @@
     send_holds holds_;
 };
 
-TEST(random_signals, are_obeyed_whatever_comes_between)
+TEST(random_signals, are_obeyed_in_any_sequence_of_events)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/runner_signals/send_holds_test.cpp
+++ b/tests/runner_signals/send_holds_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_EQ(holds.paused_until(start + seconds{2}, runner), start + seconds{5});
 }
 
-TEST(a_pause, is_not_owed_by_a_new_life)
+TEST(a_pause, does_not_apply_to_a_new_life)
 {
     send_holds holds;
     holds.on_pause(start, runner, first, seconds{60});
@@ -62,7 +62,7 @@
     EXPECT_EQ(holds.find(start + seconds{2}, runner), send_hold::paused);
 }
 
-TEST(a_leave, lasts_as_long_as_the_life_whatever_the_view_shows)
+TEST(a_leave, lasts_for_the_life_regardless_of_the_view)
 {
     send_holds holds;
     EXPECT_TRUE(holds.on_leaving(start, runner, first));
@@ -81,7 +81,7 @@
     EXPECT_EQ(holds.find(start + seconds{401}, runner), send_hold::none);
 }
 
-TEST(a_leave, is_forgotten_once_the_runner_has_long_been_gone)
+TEST(a_leave, is_dropped_once_the_runner_has_been_absent_for_long)
 {
     send_holds holds;
     holds.on_leaving(start, runner, first);
