--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -58,7 +58,7 @@
 
 /// The effect of one request on all runners.
 struct crash_impact {
-    std::size_t ends = 0;           ///< runners that crashed while running the request
+    std::size_t ends = 0;           ///< arrivals; each crashes its runner or finds it ending
     std::size_t arrivals_after = 0; ///< arrivals that the guarantee bounds
 };
 
