--- a/tests/quarantine/runner_lives_test.cpp
+++ b/tests/quarantine/runner_lives_test.cpp
@@ -1,4 +1,4 @@
-// Which cuts of connections were ends of runners, by the lives that are heard afterwards.
+// Tests which cut connections are proved to be crashes by later lives of the runner.
 
 #include "cedarpoint/quarantine/quarantine_controller.h"
 #include "cedarpoint/quarantine/runner_lives.h"
@@ -19,25 +19,25 @@
     return instant{} + seconds{1000} + milliseconds{ms};
 }
 
-TEST(lives_of_a_runner, prove_that_a_cut_was_an_end_once_a_later_one_is_heard)
+TEST(lives_of_a_runner, prove_that_a_cut_was_a_crash_once_a_later_one_is_seen)
 {
     runner_lives lives;
     EXPECT_TRUE(lives.on_heard(at(0), runner, first));
     EXPECT_FALSE(lives.on_heard(at(1000), runner, first));
-    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), std::nullopt) << "nothing was heard since";
+    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), std::nullopt) << "no heartbeat since the cut";
     EXPECT_TRUE(lives.on_heard(at(2000), runner, second));
     EXPECT_EQ(lives.life_ended_by(runner, at(1500)), first);
 
-    // It was heard after this cut, which so was a reset.
+    // A heartbeat of the same life arrived after this cut, so it was a reset.
     EXPECT_EQ(lives.life_ended_by(runner, at(500)), std::nullopt);
-    // And this one is of the present life.
+    // This cut is in the current life.
     EXPECT_EQ(lives.life_ended_by(runner, at(2500)), std::nullopt);
     EXPECT_EQ(lives.life_at(runner, at(2500)), second);
     EXPECT_EQ(lives.life_at(runner, at(1500)), first);
     EXPECT_EQ(lives.life_at(runner, at(-1)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, take_a_heartbeat_that_comes_late_for_no_new_life)
+TEST(lives_of_a_runner, do_not_change_with_a_late_heartbeat_of_an_earlier_one)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, second);
@@ -45,7 +45,7 @@
     EXPECT_EQ(lives.life_at(runner, at(200)), second);
 }
 
-TEST(lives_of_a_runner, prove_nothing_if_the_next_one_is_heard_long_after)
+TEST(lives_of_a_runner, prove_nothing_if_the_next_one_is_seen_long_after)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, first);
@@ -53,7 +53,7 @@
     EXPECT_EQ(lives.life_ended_by(runner, at(1000)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, end_when_another_runner_begins_at_its_address)
+TEST(lives_of_a_runner, end_when_another_runner_starts_at_its_address)
 {
     runner_lives lives;
     lives.on_heard(at(0), runner, birth{});
@@ -62,11 +62,11 @@
     EXPECT_EQ(lives.life_ended_by(runner, at(800)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, are_known_to_a_new_leader_by_the_log)
+TEST(lives_of_a_runner, are_known_to_a_new_leader_from_the_log)
 {
     runner_lives lives;
     lives.expect(runner, first);
-    EXPECT_FALSE(lives.on_heard(at(100), runner, first)) << "it lives on";
+    EXPECT_FALSE(lives.on_heard(at(100), runner, first)) << "the runner is in the same life";
     EXPECT_TRUE(lives.on_heard(at(900), runner, second));
     EXPECT_EQ(lives.life_ended_by(runner, at(500)), first);
 }
@@ -96,10 +96,10 @@
     quarantine_controller controller;
 };
 
-TEST_F(cuts_that_wait_for_proof, count_as_one_end_of_each_life)
+TEST_F(cuts_that_wait_for_proof, count_as_one_crash_of_each_life)
 {
     controller.on_cuts(at(120), cut(10, 100));
-    // Retries connect while it is away, and are cut as well; other daemons see the same.
+    // Retries connect while the runner restarts and are cut as well, also those of other daemons.
     controller.on_cuts(at(220), cut(150, 200));
     controller.on_cuts(at(320), cut(250, 300, "d-2"));
     EXPECT_EQ(count(), 0);
@@ -113,12 +113,12 @@
 
 TEST_F(cuts_that_wait_for_proof, count_also_if_they_are_reported_after_the_next_life)
 {
-    controller.on_heard(at(150), runner, second); // it was back at once
+    controller.on_heard(at(150), runner, second); // the runner restarted at once
     EXPECT_EQ(controller.on_cuts(at(300), cut(10, 100)).size(), 1U);
     EXPECT_EQ(count(), 1);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_the_same_end_as_one_that_another_daemon_saw_refused)
+TEST_F(cuts_that_wait_for_proof, are_the_same_crash_as_one_that_another_daemon_proved)
 {
     auto refused = cut(10, 100);
     controller.on_report(refused);
@@ -127,7 +127,7 @@
     EXPECT_EQ(count(), 1);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_nothing_once_the_request_was_answered)
+TEST_F(cuts_that_wait_for_proof, do_not_count_once_the_request_was_answered)
 {
     controller.on_cuts(at(120), cut(10, 100));
     crash_histories answer;
@@ -137,8 +137,8 @@
     EXPECT_EQ(count(), 0);
 }
 
-// Guards sound requests whose connections the network resets.
-TEST_F(cuts_that_wait_for_proof, prove_nothing_while_the_runner_lives_on)
+// Guards against quarantining sound requests whose connections the network resets.
+TEST_F(cuts_that_wait_for_proof, do_not_count_while_the_runner_stays_in_one_life)
 {
     for (int n = 0; n < 20; ++n) {
         controller.on_cuts(at(n * 100 + 60), cut(n * 100, n * 100 + 40));
@@ -148,7 +148,7 @@
     EXPECT_EQ(count(), 0);
 }
 
-TEST_F(cuts_that_wait_for_proof, are_reported_again_to_no_effect)
+TEST_F(cuts_that_wait_for_proof, count_once_when_they_are_reported_again)
 {
     controller.on_cuts(at(120), cut(10, 100));
     controller.on_heard(at(600), runner, second);
--- a/tests/runner_signals/random_holds_test.cpp
+++ b/tests/runner_signals/random_holds_test.cpp
@@ -1,5 +1,5 @@
-// Random orders of what runners say, new lives, views with and without a runner, and jumps of time:
-// nothing may be sent to a runner within what it has asked for.
+// Checks random sequences of signals from runners, new lives, views with and without a runner, and
+// jumps in time: a runner must be held for as long as it has asked for.
 
 #include "cedarpoint/runner_signals/send_holds.h"
 
@@ -13,8 +13,8 @@
 
 constexpr int seeds = 200;
 constexpr int steps = 400;
-/// A runner that was out of the view for longer counts as ended.
-constexpr duration forget_after = seconds{60};
+/// A runner that is absent from the view for longer is taken to have ended.
+constexpr duration leave_retention = seconds{60};
 
 class random_holds {
 public:
@@ -28,7 +28,7 @@
             pass_time(milliseconds{draw(700)});
             break;
         case 2:
-            pass_time(milliseconds{500 + draw(29'500)}); // a suspension
+            pass_time(milliseconds{500 + draw(29'500)}); // the machine is suspended
             break;
         case 3:
             begin_life(any_runner());
@@ -38,7 +38,7 @@
             show();
             break;
         case 5:
-            tell_leave(any_runner());
+            signal_leave(any_runner());
             break;
         default:
             ask_for_pause(any_runner());
@@ -52,16 +52,16 @@
         runner_id id;
         birth life{1};
         birth viewed{1};
-        instant wants_nothing_until;         ///< this life
+        instant paused_until;                ///< end of the pause of this life
         instant latest_pause_end;            ///< of any life
-        bool has_left = false;               ///< told since the view showed this life
+        bool is_leaving = false;             ///< has signalled a leave since this life is viewed
         std::optional<instant> absent_since; ///< from the view
     };
 
     int draw(int below) { return std::uniform_int_distribution<int>{0, below - 1}(random_); }
     runner_facts& any_runner() { return runners_.at(static_cast<std::size_t>(draw(2))); }
 
-    /// It speaks: it has not ended.
+    /// The runner answers, so it has not ended.
     void note_answer(runner_facts& of) const
     {
         if (of.absent_since) {
@@ -74,23 +74,23 @@
         note_answer(of);
         const milliseconds time{1 + draw(4000)};
         holds_.on_pause(now_, of.id, of.viewed, time);
-        of.wants_nothing_until = std::max(of.wants_nothing_until, now_ + time);
+        of.paused_until = std::max(of.paused_until, now_ + time);
         of.latest_pause_end = std::max(of.latest_pause_end, now_ + time);
     }
 
-    void tell_leave(runner_facts& of)
+    void signal_leave(runner_facts& of)
     {
         note_answer(of);
         holds_.on_leaving(now_, of.id, of.viewed);
-        of.has_left = of.has_left || of.viewed == of.life;
+        of.is_leaving = of.is_leaving || of.viewed == of.life;
     }
 
-    /// The view shows the new life within a second.
+    /// Starts a new life, which the view contains within a second.
     void begin_life(runner_facts& of)
     {
         ++of.life.value;
-        of.wants_nothing_until = {};
-        of.has_left = false;
+        of.paused_until = {};
+        of.is_leaving = false;
         show_at_ = std::min(show_at_, now_ + milliseconds{draw(900)});
     }
 
@@ -115,7 +115,7 @@
         const auto until = now_ + time;
         if (show_at_ <= until) {
             now_ = std::max(now_, show_at_);
-            is_shown_ = true; // a life that begins is heard of
+            is_shown_ = true; // a runner that starts is always added to the view
             show();
         }
         now_ = until;
@@ -124,13 +124,13 @@
     void check()
     {
         for (auto& each : runners_) {
-            const bool has_ended = each.absent_since && now_ - *each.absent_since > forget_after;
-            each.has_left = each.has_left && !has_ended;
+            const bool has_ended = each.absent_since && now_ - *each.absent_since > leave_retention;
+            each.is_leaving = each.is_leaving && !has_ended;
             const auto found = holds_.find(now_, each.id);
-            if (now_ < each.wants_nothing_until) {
+            if (now_ < each.paused_until) {
                 EXPECT_NE(found, send_hold::none) << each.id.str();
             }
-            if (each.has_left && is_shown_) {
+            if (each.is_leaving && is_shown_) {
                 EXPECT_EQ(found, send_hold::leaving) << each.id.str();
             }
             if (now_ >= each.latest_pause_end) {
@@ -142,12 +142,12 @@
     std::mt19937_64 random_;
     instant now_{seconds{100}};
     instant show_at_ = instant::max();
-    bool is_shown_ = true; ///< the first runner, in the view
+    bool is_shown_ = true; ///< whether the view contains the first runner
     std::vector<runner_facts> runners_{{runner_id{"i-0"}}, {runner_id{"i-1"}}};
     send_holds holds_;
 };
 
-TEST(random_signals, are_obeyed_whatever_comes_between)
+TEST(random_signals, are_obeyed_in_any_sequence_of_events)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE(seed);
--- a/tests/runner_signals/send_holds_test.cpp
+++ b/tests/runner_signals/send_holds_test.cpp
@@ -15,7 +15,7 @@
     return {{runner, life}, {runner_id{"i-2"}, birth{1}}};
 }
 
-// Guards against requests within a pause after something other than its time has ended it.
+// Guards against a pause being ended by anything but its time.
 TEST(a_pause, is_ended_by_its_time_alone)
 {
     send_holds holds;
@@ -23,11 +23,11 @@
     EXPECT_EQ(holds.find(start, runner), send_hold::paused);
     EXPECT_EQ(holds.find(start, runner_id{"i-2"}), send_hold::none);
 
-    // A shorter one.
+    // The runner asks for a shorter pause.
     holds.on_pause(start + seconds{1}, runner, first, milliseconds{100});
     EXPECT_EQ(holds.paused_until(start + seconds{2}, runner), start + seconds{3});
 
-    // The runner is out of the view for a while, and comes back in the same life.
+    // The runner disappears from the view and returns in the same life.
     holds.on_lives(start + seconds{1}, {});
     holds.on_lives(start + seconds{2}, seen(first));
     EXPECT_EQ(holds.find(start + milliseconds{2999}, runner), send_hold::paused);
@@ -46,7 +46,7 @@
     EXPECT_EQ(holds.paused_until(start + seconds{2}, runner), start + seconds{5});
 }
 
-TEST(a_pause, is_not_owed_by_a_new_life)
+TEST(a_pause, does_not_apply_to_a_new_life)
 {
     send_holds holds;
     holds.on_pause(start, runner, first, seconds{60});
@@ -62,7 +62,7 @@
     EXPECT_EQ(holds.find(start + seconds{2}, runner), send_hold::paused);
 }
 
-TEST(a_leave, lasts_as_long_as_the_life_whatever_the_view_shows)
+TEST(a_leave, lasts_for_the_life_regardless_of_the_view)
 {
     send_holds holds;
     EXPECT_TRUE(holds.on_leaving(start, runner, first));
@@ -77,11 +77,11 @@
     holds.on_lives(start + seconds{400}, seen(second));
     EXPECT_EQ(holds.find(start + seconds{400}, runner), send_hold::none);
     EXPECT_FALSE(holds.on_leaving(start + seconds{401}, runner, first))
-        << "an answer of the earlier life, that was late";
+        << "a late answer from the earlier life";
     EXPECT_EQ(holds.find(start + seconds{401}, runner), send_hold::none);
 }
 
-TEST(a_leave, is_forgotten_once_the_runner_has_long_been_gone)
+TEST(a_leave, is_dropped_once_the_runner_has_been_absent_for_long)
 {
     send_holds holds;
     holds.on_leaving(start, runner, first);
