--- a/include/cedarpoint/admission/account_limits.h
+++ b/include/cedarpoint/admission/account_limits.h
@@ -8,16 +8,17 @@
 
 namespace cedarpoint {
 
-/// Holds each account to its requests in flight and its requests a minute (a token bucket).
-/// Owns what each account uses at this daemon. Relies on its user to release what was admitted.
+/// Enforces the limits of each account on requests in flight and on requests per minute (a token
+/// bucket). Owns the usage of each account at this daemon. The user must call `release` once for
+/// each admitted request.
 class account_limits {
 public:
-    /// Counts the request in and returns nothing, or says why it is over a limit. `share`: the
-    /// fraction of the account's fleet-wide limits that this daemon may use, 0 to 1; at least one
-    /// request in flight is always allowed.
+    /// Admits and counts a request, or returns the refusal if the account is at a limit. `share` is
+    /// the fraction of the account's fleet-wide limits that this daemon may use, 0 to 1. At least
+    /// one request in flight is always allowed.
     [[nodiscard]] std::optional<refusal> admit(instant now, const account_spec& account,
                                                double share);
-    /// The request that was admitted has had its final answer.
+    /// Records that an admitted request has received its final answer.
     void release(const client_account_id& account);
     [[nodiscard]] int in_flight(const client_account_id& account) const;
 
@@ -25,7 +26,7 @@
     struct usage {
         int in_flight = 0;
         double tokens = 0; ///< requests that may start now
-        instant filled{};  ///< when `tokens` was brought up to date
+        instant filled{};  ///< when `tokens` was last updated
         bool started = false;
     };
 
--- a/include/cedarpoint/admission/wait_queue.h
+++ b/include/cedarpoint/admission/wait_queue.h
@@ -23,29 +23,31 @@
     instant give_up; ///< the deadline, or the end of the longest wait
 };
 
-/// Requests with the same routes that wait for a slot. Owns their order:
+/// Queue of the requests with the same routes that wait for a slot. Owns their order:
 ///   class    alarm, then normal, then bulk; a request that has waited `promote_after` counts as
-///            one class higher, so that nothing starves
-///   account  within a class, the account that was served least for its weight (as in start-time
-///            fair queueing; a request costs 1 / weight)
-///   arrival  within an account and class, first come first served
-/// Relies on its user to remove what it serves or gives up.
+///            one class higher, which prevents starvation
+///   account  within a class, the account with the least service for its weight (start-time fair
+///            queueing; a request costs 1 / weight)
+///   arrival  within an account and class, first come, first served
+/// The user must remove each request that it serves or refuses.
 class wait_queue {
 public:
-    /// Requests, over all classes and accounts.
+    /// Maximum number of requests over all classes and accounts.
     static constexpr std::size_t max_length = 2048;
     static constexpr duration promote_after = seconds{20};
 
-    /// False if the queue is full; `shed` then names a request that may have to give its place.
+    /// Adds a request. Returns false if the queue is full; `shed` then returns a request that can
+    /// be displaced.
     [[nodiscard]] bool push(const waiting& it);
-    /// The request to give up so that one of `priority` can be let in: the newest of the lowest
-    /// class that has one. Empty if only this class and higher ones wait.
+    /// Returns the request to displace in favour of one of class `priority`: the newest request of
+    /// the lowest class that has any. Empty if no request of a lower class than `priority` waits.
     [[nodiscard]] std::optional<request_id> shed(priority_class priority);
-    /// The next request that should run; it stays queued until `remove`. Empty if none waits.
+    /// Returns the next request to run, which stays queued until `remove`. Empty if none waits.
     [[nodiscard]] std::optional<request_id> next(instant now) const;
-    /// `served` counts it against its account's share. Nothing happens if it is not queued.
+    /// Removes a request; does nothing if it is not queued. If `served`, the request counts towards
+    /// its account's share.
     void remove(const request_id& request, bool served);
-    /// Takes out every request whose time to give up has come, and names them.
+    /// Removes and returns all requests whose `give_up` time has come.
     [[nodiscard]] std::vector<request_id> expire(instant now);
 
     [[nodiscard]] std::size_t size() const { return size_; }
@@ -56,12 +58,12 @@
     /// One account's requests of one class.
     struct lane {
         std::deque<waiting> requests;
-        double virtual_time = 0; ///< requests served so far, over weight
+        double virtual_time = 0; ///< sum of 1 / weight over the requests served so far
     };
     using lanes = std::map<client_account_id, lane>;
 
     std::array<lanes, classes> by_class_; ///< by `priority_class`; the first is the highest
-    std::array<double, classes> clock_{}; ///< highest virtual time at which one was served
+    std::array<double, classes> clock_{}; ///< highest virtual time at which a request was served
     std::size_t size_ = 0;
 };
 
--- a/include/cedarpoint/claims/claim.h
+++ b/include/cedarpoint/claims/claim.h
@@ -7,7 +7,7 @@
 
 namespace cedarpoint {
 
-/// A caller's idempotency key. Keys of different accounts are different keys.
+/// A caller's idempotency key. Keys are scoped to the account.
 struct claim_key {
     client_account_id account;
     std::string key;
@@ -16,19 +16,19 @@
 
 /// The outcome of a claimed request.
 enum class claim_outcome {
-    running,      ///< its holder has not reported an outcome
-    ran,          ///< it ran and its caller got the whole answer
+    running,      ///< the holder has not reported an outcome yet
+    ran,          ///< it ran and the caller received the whole response
     may_have_run, ///< it was interrupted after its first byte was sent to a runner
-    not_run       ///< its holder released the claim before a byte was sent: the key is free again
+    not_run       ///< the holder released the claim before a byte was sent: the key is free again
 };
 
 /// The answer to a claim.
 enum class claim_verdict {
-    granted,     ///< this holder, and no other, may run it
+    granted,     ///< only this holder may run the request
     running,     ///< another holder has the claim
-    already_ran, ///< it ran
-    unknown_end, ///< it may have run
-    unavailable  ///< the home domain's leader did not answer in time: nothing may run
+    already_ran, ///< the request ran
+    unknown_end, ///< the request may have run
+    unavailable  ///< no answer from the home domain's leader in time: the request must not run
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/core/decaying_count.h
+++ b/include/cedarpoint/core/decaying_count.h
@@ -6,8 +6,8 @@
 
 namespace cedarpoint {
 
-/// Events of about the latest second: what was counted decays with a time constant of one second,
-/// so that the value is a rate per second as well.
+/// Event count that decays exponentially with a time constant of one second, so that its value
+/// approximates the current rate per second.
 class decaying_count {
 public:
     void add(instant now, double count)
--- a/include/cedarpoint/core/endpoint.h
+++ b/include/cedarpoint/core/endpoint.h
@@ -8,12 +8,13 @@
 
 namespace cedarpoint {
 
-/// An IP number with a port. Names are never resolved.
+/// An IP address with a port. Host names are never resolved.
 struct endpoint {
     std::string ip;
     std::uint16_t port = 0;
 
-    /// Reads "10.0.0.1:80" or "[::1]:80"; empty on anything else, names included.
+    /// Parses "10.0.0.1:80" or "[::1]:80". Returns empty for any other text, including host names
+    /// and port 0.
     static std::optional<endpoint> parse(std::string_view text);
 
     [[nodiscard]] std::string str() const;
--- a/include/cedarpoint/core/hash.h
+++ b/include/cedarpoint/core/hash.h
@@ -5,7 +5,8 @@
 
 namespace cedarpoint {
 
-/// XXH3, 64 bits: the same on every machine and at every start. Not for secrets.
+/// Returns the 64-bit XXH3 hash, which is the same on every machine and in every process. Not for
+/// secrets.
 std::uint64_t hash_of(std::string_view bytes);
 
 /// True for 64 lower-case hex digits.
--- a/include/cedarpoint/core/http_status.h
+++ b/include/cedarpoint/core/http_status.h
@@ -2,8 +2,8 @@
 
 namespace cedarpoint::http_status {
 
-// The statuses of HTTP that the product gives or looks for, by their standard names. In `core`,
-// since decisions name them too.
+// The HTTP status codes that the product sends or checks, under their standard names. They are in
+// `core` because decision code uses them as well.
 inline constexpr int ok = 200;
 inline constexpr int accepted = 202;
 inline constexpr int temporary_redirect = 307;
@@ -21,7 +21,7 @@
 inline constexpr int service_unavailable = 503;
 inline constexpr int gateway_timeout = 504;
 
-/// @name Where the classes of errors begin.
+/// @name First status codes of the error classes.
 /// @{
 inline constexpr int first_error = 400;
 inline constexpr int first_server_error = 500;
--- a/include/cedarpoint/core/ids.h
+++ b/include/cedarpoint/core/ids.h
@@ -7,7 +7,8 @@
 
 namespace cedarpoint {
 
-/// A name of one kind of thing. Ids of different kinds do not compare or convert.
+/// A textual identifier. `Tag` gives each kind of id a type of its own: ids of different kinds can
+/// be neither compared nor converted.
 template <class Tag>
 class id {
 public:
@@ -26,16 +27,16 @@
 using node_id = id<struct node_tag>;                     ///< one machine
 using runner_id = id<struct runner_tag>;                 ///< one engine or service process
 using group_id = id<struct group_tag>;                   ///< one replica: "pool/0"
-using pool_id = id<struct pool_tag>;                     ///< a replica group declaration
+using pool_id = id<struct pool_tag>;                     ///< one declaration of replica groups
 using service_id = id<struct service_tag>;               ///< a plain service
 using model_id = id<struct model_tag>;                   ///< a model's name
 using client_account_id = id<struct client_account_tag>; ///< one customer
 using failure_domain_id = id<struct failure_domain_tag>; ///< one zone
-using fabric_domain_id = id<struct fabric_domain_tag>;   ///< nodes with one fast fabric
+using fabric_domain_id = id<struct fabric_domain_tag>;   ///< nodes on one high-speed interconnect
 using daemon_id = id<struct daemon_tag>;                 ///< one cedarpoint process
 using session_id = id<struct session_tag>;               ///< a caller's conversation
-using request_id = id<struct request_tag>;               ///< one call
-using change_id = id<struct change_tag>;                 ///< one operator's change
+using request_id = id<struct request_tag>;               ///< one request of a caller
+using change_id = id<struct change_tag>;                 ///< one change made by an operator
 
 } // namespace cedarpoint
 
--- a/include/cedarpoint/core/packing.h
+++ b/include/cedarpoint/core/packing.h
@@ -7,10 +7,12 @@
 
 namespace cedarpoint {
 
-/// Compresses a document for storage and for the way between daemons (its length, then gzip).
+/// Compresses a document for storage and for transfer between daemons. The format is the length of
+/// the document as a varint, followed by a gzip stream.
 [[nodiscard]] std::string pack(std::string_view document);
 
-/// The document that was packed; empty if `packed` is damaged or holds more than `most_bytes`.
+/// Decompresses the output of `pack`. Returns empty if `packed` is corrupt or if the document is
+/// larger than `most_bytes`.
 [[nodiscard]] std::optional<std::string> unpack(const std::string& packed, std::size_t most_bytes);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/core/parse_decimal.h
+++ b/include/cedarpoint/core/parse_decimal.h
@@ -5,8 +5,8 @@
 
 namespace cedarpoint {
 
-/// A finite decimal number that is not negative, with blanks round it or not; empty for anything
-/// else.
+/// Parses a finite, non-negative decimal number. Spaces and tabs around it are ignored. Returns
+/// empty for any other text.
 [[nodiscard]] std::optional<double> parse_decimal(std::string_view text);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/core/parse_integer.h
+++ b/include/cedarpoint/core/parse_integer.h
@@ -6,7 +6,7 @@
 
 namespace cedarpoint {
 
-/// Reads a decimal number; empty unless all of `text` is one.
+/// Parses a decimal integer. Returns empty unless the whole of `text` is one.
 std::optional<std::int64_t> parse_integer(std::string_view text);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/core/peer_clock.h
+++ b/include/cedarpoint/core/peer_clock.h
@@ -5,18 +5,19 @@
 
 namespace cedarpoint {
 
-/// Translates the steady clock of one other daemon into this daemon's own. Of the peer's messages
-/// that came of late, the one that was under way for the shortest time tells how the clocks lie to
-/// each other; so a message that was held up does not make what it tells seem later than it was.
-/// The error is the shortest transit time, and the drift within two windows.
+/// Converts times on the steady clock of one other daemon to this daemon's clock. The offset
+/// between the clocks is taken from the recent message with the shortest transit time, so that a
+/// delayed message does not make the events that it reports appear later than they happened.
+/// The error is the shortest transit time plus the clock drift within two windows of
+/// `recent_minimum`.
 class peer_clock {
 public:
-    /// A message has come that the peer made when its own clock showed `stamp`. Returns when that
-    /// was, by this daemon's clock.
+    /// Records a message that arrives at `now` and that the peer created when its own clock read
+    /// `stamp`. Returns the creation time on this daemon's clock.
     [[nodiscard]] instant on_message(instant now, instant stamp);
 
 private:
-    recent_minimum offsets_; ///< of this clock against the peer's
+    recent_minimum offsets_; ///< this clock minus the peer's, transit time included
     instant latest_stamp_;
 };
 
--- a/include/cedarpoint/core/peer_clocks.h
+++ b/include/cedarpoint/core/peer_clocks.h
@@ -9,12 +9,12 @@
 
 namespace cedarpoint {
 
-/// The clocks of all daemons that send messages to this one.
+/// Converts the clocks of all daemons that send messages to this one; see `peer_clock`.
 class peer_clocks {
 public:
-    /// When `peer` made the message that has come now, by this daemon's clock. `stamp_us`: its own
-    /// clock's reading as the message tells it. Without a plausible one the message counts as made
-    /// now.
+    /// Returns when `peer` created a message that arrives at `now`, on this daemon's clock.
+    /// `stamp_us` is the reading of the peer's clock in the message, in microseconds. If it is not
+    /// plausible, returns `now`.
     [[nodiscard]] instant sent_at(instant now, const daemon_id& peer, std::int64_t stamp_us);
     void forget(const daemon_id& peer) { clocks_.erase(peer); }
 
--- a/include/cedarpoint/core/reason.h
+++ b/include/cedarpoint/core/reason.h
@@ -4,11 +4,11 @@
 
 namespace cedarpoint {
 
-/// Why an operation returned empty: where it got to, against whom, and what was wrong.
+/// Describes why an operation failed: the step, the peer or object concerned, and the error.
 struct reason {
     std::string step; ///< "connect", "parse", "sync" ...
-    std::string peer; ///< address, file or id that the step concerned; may be empty
-    std::string text; ///< the fault in words
+    std::string peer; ///< address, file or id that the step used; may be empty
+    std::string text; ///< description of the error
 
     [[nodiscard]] std::string str() const
     {
--- a/include/cedarpoint/core/recent_extreme.h
+++ b/include/cedarpoint/core/recent_extreme.h
@@ -8,8 +8,8 @@
 
 namespace cedarpoint {
 
-/// The extreme of the durations that were seen of late: in the present window of a minute, or in
-/// the one before. `Precedes`: true if its first argument is the less extreme one.
+/// The extreme (minimum or maximum) of the durations added in the current one-minute window and in
+/// the window before it. `Precedes(a, b)` is true if `a` is less extreme than `b`.
 template <class Precedes>
 class recent_extreme {
 public:
@@ -23,7 +23,7 @@
         }
         present_ = std::max(present_.value_or(value), value, Precedes{});
     }
-    /// Empty before the first value.
+    /// Returns empty until the first call of `add`.
     [[nodiscard]] std::optional<duration> value() const
     {
         if (!present_ || !earlier_) {
--- a/include/cedarpoint/core/time.h
+++ b/include/cedarpoint/core/time.h
@@ -5,7 +5,8 @@
 
 namespace cedarpoint {
 
-/// The clock of the core: never read there, only passed in. Steady; its zero has no meaning.
+/// Clock type of the decision code, which never reads a clock: callers pass the present time in.
+/// Steady; its epoch has no meaning.
 struct core_clock {
     using rep = std::int64_t;
     using period = std::micro;
--- a/include/cedarpoint/core/units.h
+++ b/include/cedarpoint/core/units.h
@@ -5,17 +5,18 @@
 
 namespace cedarpoint {
 
-/// A counted quantity of one kind; kinds do not mix.
+/// An unsigned number of one kind. `Tag` gives each kind a type of its own; kinds do not convert.
 template <class Tag>
 struct quantity {
     std::uint64_t value = 0;
     friend auto operator<=>(const quantity&, const quantity&) = default;
 };
 
-using revision = quantity<struct revision_tag>; ///< of the configuration; 0 before the first
+using revision = quantity<struct revision_tag>; ///< configuration revision; 0 before the first
 using epoch = quantity<struct epoch_tag>;       ///< fencing number of a group's assignment
-/// When a runner's life began, in Unix milliseconds by its own clock: its lives under one id differ
-/// in it. 0 where the platform does not tell it; then each life has an id of its own.
+/// Start time of a runner process, in Unix milliseconds by the runner's own clock. It distinguishes
+/// the successive processes ("lives") of a runner under the same id. 0 if the platform does not
+/// report it; each process then has an id of its own.
 using birth = quantity<struct birth_tag>;
 using attempt_id = quantity<struct attempt_tag>; ///< one dispatch of a request to a runner
 
--- a/include/cedarpoint/groups/drain_wire.h
+++ b/include/cedarpoint/groups/drain_wire.h
@@ -9,11 +9,11 @@
 
 using drain_entries = google::protobuf::RepeatedPtrField<wire::drain_entry>;
 
-/// Sets or takes back the mark on a "node", "group" or "runner". False for any other kind.
+/// Sets or clears the drain mark of a "node", "group" or "runner". Returns false for other kinds.
 bool mark_drain(drain_marks& marks, const std::string& kind, const std::string& id, bool draining);
 
 void write_drains(const drain_marks& from, drain_entries& to);
-/// Entries of a kind that this version does not know are left out.
+/// Ignores entries of a kind that this version does not know.
 drain_marks read_drains(const drain_entries& from);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/groups/group_controller.h
+++ b/include/cedarpoint/groups/group_controller.h
@@ -14,26 +14,26 @@
 
 namespace cedarpoint {
 
-/// An order to a runner. Runners that check epochs refuse one of an older epoch.
+/// An order to a runner. Runners that check epochs refuse an order with an older epoch.
 struct runner_order {
     runner_id runner;
     endpoint address;
     epoch assignment;
     bool load = true; ///< false: stop and become idle
     group_id group;
-    int rank = 0; ///< place in the group; 0 takes the requests
-    int size = 0; ///< nodes of the group
+    int rank = 0; ///< rank in the group; rank 0 receives the requests
+    int size = 0; ///< number of nodes of the group
     model_id model;
     std::string version;
     std::vector<std::string> adapters;
     group_role role = group_role::converged;
 };
 
-/// A change of the group table that the controller proposes to the domain's log.
+/// A change of the group table that the controller proposes to the failure domain's log.
 struct group_proposal {
-    group_record record;                   ///< for an assignment: nodes and what to load
-    group_state to = group_state::loading; ///< loading: a new assignment
-    epoch floor;                           ///< a new assignment's epoch is above this
+    group_record record;                   ///< for a new assignment: the nodes and what to load
+    group_state to = group_state::loading; ///< `loading`: a new assignment
+    epoch floor;                           ///< the epoch of a new assignment is above this
     std::string why;
 };
 
@@ -43,8 +43,8 @@
     std::vector<runner_order> orders;
 };
 
-/// Operators' drain marks: these groups, and groups with these nodes or runners, are drained and
-/// not formed again.
+/// Operators' drain marks: the marked groups, and groups with marked nodes or runners, are drained
+/// and not formed again.
 struct drain_marks {
     std::set<node_id> nodes;
     std::set<group_id> groups;
@@ -52,43 +52,44 @@
     friend bool operator==(const drain_marks&, const drain_marks&) = default;
 };
 
-/// Bounds on control. `domain` and `grant_ttl` come from settings; the others have the values here.
+/// Options of the controller. `domain` and `grant_ttl` come from the settings; the others keep the
+/// defaults.
 struct control_options {
     failure_domain_id domain;
-    /// Between two sendings of the same order to a runner.
+    /// Time between two transmissions of an order to the same runner.
     duration order_interval = seconds{1};
-    /// A daemon sends requests to a group for at most this long after its last grant
-    /// (`settings::grant_ttl`).
+    /// Lifetime of a grant (`settings::grant_ttl`): a daemon sends requests to a group for at most
+    /// this long after its last grant.
     duration grant_ttl = seconds{3};
-    /// Two daemons' clocks run apart by at most this over one grant.
+    /// Bound on the drift between two daemons' clocks over the lifetime of a grant.
     duration drift = milliseconds{500};
-    /// A report is at most this old when it arrives; a drain waits for it.
+    /// Bound on the age of a report when it arrives. A drain waits for this time.
     duration report_lag = seconds{1};
-    /// A runner that checks no epoch has ended all old work this long after the last grant
-    /// (docs/DESIGN.md, Groups).
+    /// Time after the expiry of the last grant within which a runner that does not check epochs has
+    /// ended all earlier requests (docs/DESIGN.md, Groups).
     duration in_flight_bound = seconds{60};
-    /// A draining group is stopped after this, with requests in flight or without.
+    /// Time after which a draining group is stopped even if requests are in flight.
     duration drain_bound = seconds{600};
-    /// Groups that load at the same time, to spare the weight store.
+    /// Maximum number of groups that load at the same time, to limit the load on the weight store.
     int loads_at_once = 2;
 };
 
 /// Forms, drains and repairs the groups of one failure domain, on the daemon that holds the
-/// domain's lease. It proposes; the replicated group table accepts or refuses. Orders follow
-/// committed records only.
-/// Owns: timers since a group's last state change and since a runner's last order; both are lost
-/// with the lease. Relies on: the group table, the runners' reports, and its caller to hold the
-/// lease.
+/// domain's lease. It only proposes changes, which the replicated group table accepts or refuses.
+/// Orders are based on committed records only.
+/// Owns the times of each group's last state change and each runner's last order, which are
+/// discarded with the lease. Depends on the group table, the runners' reports and a caller that
+/// holds the lease.
 class group_controller {
 public:
     group_controller(control_options options, std::unique_ptr<placement_strategy> placement);
 
-    /// One pass over all groups and nodes. Level-triggered: it repeats proposals and orders until
-    /// the committed state and the reports show them.
+    /// Makes one pass over all groups and nodes. Level-triggered: proposals and orders are repeated
+    /// until the committed state and the reports reflect them.
     [[nodiscard]] control_step step(instant now, const configuration& config,
                                     const group_table& groups, const runner_watch& watch,
                                     const drain_marks& drains);
-    /// Clears the timers; for the start of a new lease.
+    /// Clears all timers. Called at the start of a new lease.
     void reset();
 
 private:
@@ -99,9 +100,9 @@
     void look_at_serving(const context& in, const group_record& it, control_step& out);
     void look_at_draining(const context& in, const group_record& it, control_step& out);
     void look_at_ended(const context& in, const group_record& it, control_step& out);
-    /// Groups that are declared and have no nodes.
+    /// Returns the declared groups without nodes, except those with a drain mark.
     [[nodiscard]] std::vector<placement_need> find_missing(const context& in) const;
-    /// Nodes that a group could get.
+    /// Returns the nodes that can be assigned to a group.
     [[nodiscard]] static free_nodes find_free_nodes(const context& in);
     void place_missing(const context& in, control_step& out) const;
     void order_members(const context& in, const group_record& it, bool load, control_step& out);
--- a/include/cedarpoint/groups/group_wire.h
+++ b/include/cedarpoint/groups/group_wire.h
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 
 wire::group_entry to_wire(const group_record& it);
-/// Empty if a field has a value that this version does not know.
+/// Returns empty if a field has a value that this version does not know.
 std::optional<group_record> from_wire(const wire::group_entry& it);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/groups/placement.h
+++ b/include/cedarpoint/groups/placement.h
@@ -10,22 +10,22 @@
 
 namespace cedarpoint {
 
-/// Nodes of one fabric domain that could join a group now.
+/// The nodes that can be assigned to a group now, by fabric domain.
 using free_nodes = std::map<fabric_domain_id, std::vector<node_id>>;
 
-/// One declared group without nodes.
+/// A declared group without nodes.
 struct placement_need {
     const pool_spec* pool = nullptr;
     group_id group;
 };
 
-/// The nodes chosen for a need.
+/// The nodes chosen for a group.
 struct placement_choice {
     group_id group;
     std::vector<node_id> nodes;
 };
 
-/// The input of a strategy.
+/// The input of a placement strategy.
 struct placement_view {
     const configuration& config;
     const group_table& groups;
@@ -33,8 +33,7 @@
     std::vector<placement_need> needs;
 };
 
-/// Assigns free nodes to groups. Owns nothing and keeps no state: the same view gives the same
-/// answer.
+/// Assigns free nodes to groups. Stateless: the same view gives the same result.
 class placement_strategy {
 public:
     placement_strategy() = default;
@@ -42,12 +41,13 @@
     placement_strategy& operator=(const placement_strategy&) = delete;
     virtual ~placement_strategy() = default;
 
-    /// One choice for each need that can be met now; empty if none can.
+    /// Returns one choice for each need that can be met now.
     [[nodiscard]] virtual std::vector<placement_choice> place(const placement_view& view) const = 0;
 };
 
-/// Fills the pool with the fewest serving groups first, from the tightest fabric domain that fits,
-/// so that large free blocks stay whole for large groups.
+/// Returns a strategy that places groups of the pool with the lowest fraction of formed groups
+/// first. It takes nodes from the fabric domain with the fewest free nodes that fits, so that large
+/// free blocks remain available for large groups.
 std::unique_ptr<placement_strategy> make_best_fit_placement();
 
 } // namespace cedarpoint
--- a/include/cedarpoint/groups/runner_watch.h
+++ b/include/cedarpoint/groups/runner_watch.h
@@ -10,32 +10,33 @@
 
 namespace cedarpoint {
 
-/// A runner's state, as it reports it.
+/// The state that a runner reports.
 enum class runner_phase { idle, loading, ready };
 
-/// One report of a runner: its state when it was sent.
+/// A runner's report of its state at the time of sending.
 struct runner_report {
     runner_phase phase = runner_phase::idle;
-    epoch assignment; ///< of the last order that it accepted; 0: none yet
+    epoch assignment; ///< epoch of the last order that it accepted; 0: none yet
     std::string group;
-    int in_flight = 0;    ///< requests
-    bool leaving = false; ///< its group is to be drained
+    int in_flight = 0;    ///< number of requests
+    bool leaving = false; ///< its group must be drained
 };
 
-/// The latest report of each runner, and from its age whether the runner is present.
-/// Owns: the reports. Relies on: its owner to pass on each report, its own and other daemons'.
+/// Stores the latest report of each runner. A runner is present while its latest report is recent.
+/// The owner must pass in the reports received by this daemon and by other daemons.
 class runner_watch {
 public:
     explicit runner_watch(duration absent_after) : absent_after_{absent_after} {}
 
     void on_report(instant now, const runner_id& runner, const runner_report& report);
-    /// True if the last report is younger than the constructor's limit. Without one: false.
+    /// Returns true if the runner's latest report arrived less than `absent_after` ago; false if
+    /// there was none.
     [[nodiscard]] bool is_present(instant now, const runner_id& runner) const;
-    /// Empty if none ever came.
+    /// Returns the latest report; empty if there was none.
     [[nodiscard]] std::optional<runner_report> report_of(const runner_id& runner) const;
-    /// When the latest report came; empty if none ever came.
+    /// Returns when the latest report arrived; empty if there was none.
     [[nodiscard]] std::optional<instant> heard_at(const runner_id& runner) const;
-    /// Of all reports; 0 without any.
+    /// Returns the highest epoch in any report so far; 0 if there was none.
     [[nodiscard]] epoch highest_epoch() const { return highest_; }
 
 private:
--- a/include/cedarpoint/request/actions.h
+++ b/include/cedarpoint/request/actions.h
@@ -14,7 +14,7 @@
 
 namespace cedarpoint {
 
-/// Send the request to a runner.
+/// Sends a request to a runner.
 struct start_attempt {
     request_id request;
     attempt_id attempt;
@@ -22,28 +22,29 @@
     endpoint address;
     epoch assignment; ///< the group's fencing token; 0 for plain services
     priority_class priority = priority_class::normal;
-    std::uint64_t resume_after = 0; ///< whole events that the caller has already
+    std::uint64_t resume_after = 0; ///< number of whole events that the caller already has
 };
 
-/// Stop a running attempt; its answer is no longer wanted.
+/// Cancels a running attempt; its response is no longer needed.
 struct cancel_attempt {
     attempt_id attempt;
 };
 
-/// Answer the caller with this error; it is the last action for the request's caller.
+/// Answers the caller with an error. No further action concerns this caller.
 struct refuse {
     request_id request;
     refusal error;
 };
 
-/// Ask the account's home failure domain for the key; answer with `dispatcher::claim_answered`.
+/// Claims the key in the account's home failure domain. The result goes to
+/// `dispatcher::claim_answered`.
 struct ask_claim {
     request_id request;
     claim_key key;
     failure_domain_id home;
 };
 
-/// Report a claimed request's outcome to the home failure domain.
+/// Reports the outcome of a claimed request to the account's home failure domain.
 struct end_claim {
     request_id request;
     claim_key key;
@@ -51,7 +52,7 @@
     claim_outcome outcome = claim_outcome::may_have_run;
 };
 
-/// Find out whether the runner has ended, by its address; answer with
+/// Checks whether the runner has ended by a connection to its address. The result goes to
 /// `dispatcher::runner_checked`.
 struct check_runner {
     runner_id runner;
@@ -68,7 +69,7 @@
     std::string reason;
 };
 
-/// What the dispatcher wants done, in order.
+/// What the dispatcher's caller must do, in order.
 using action = std::variant<start_attempt, cancel_attempt, refuse, ask_claim, end_claim,
                             check_runner, decision>;
 using actions = std::vector<action>;
--- a/include/cedarpoint/request/caller_admission.h
+++ b/include/cedarpoint/request/caller_admission.h
@@ -10,22 +10,23 @@
 
 namespace cedarpoint {
 
-// Who is admitted, and where its request may go. Pure functions of the request, the
-// configuration in force and the present time; the account's limits are checked after them.
+// Decides whether a request is admitted and which targets may serve it. Pure functions of the
+// request, the configuration in force and the present time. The account's limits are checked later,
+// by `account_limits`.
 
-/// A request that may be served.
+/// An admitted request.
 struct admitted_call {
     client_account_id account;
-    int weight = 1; ///< of the account, for its share of the queue
+    int weight = 1; ///< the account's weight in the queue
     priority_class priority = priority_class::normal;
-    failure_domain_id home; ///< of the account: keeps the claims of its keyed requests
-    instant give_up;        ///< unanswered at this time, it gets an error
-    bool repeatable = true; ///< may be sent again although a runner may have run it
-    route_query query;      ///< which places would do
-    std::string lane;       ///< the queue that it waits in: one for each set of routes
+    failure_domain_id home; ///< the account's home, which stores its claims
+    instant give_up;        ///< time at which it is refused if still unanswered
+    bool repeatable = true; ///< may be sent again even if a runner may have run it
+    route_query query;      ///< the targets that may serve it
+    std::string lane;       ///< key of its wait queue: one queue for each set of routes
 };
 
-/// A request that is not served.
+/// A request that is refused at admission.
 struct refused_call {
     client_account_id account; ///< empty if no account has the key
     refusal error;
@@ -33,13 +34,14 @@
 
 using caller_verdict = std::variant<admitted_call, refused_call>;
 
-/// Checks, in this order: the key, the priority, the deadline, the route. Without a deadline the
-/// request may wait `longest_wait`. `config` is null while none is in force: then no key is known.
+/// Checks the key, the priority, the deadline and the route, in this order. A request without a
+/// deadline may wait for `longest_wait`. `config` is null while no configuration is in force; every
+/// key is then unknown.
 [[nodiscard]] caller_verdict admit_caller(instant now, const request_facts& facts,
                                           const configuration* config, duration longest_wait);
 
-/// The account whose key has this digest (lower-case hex SHA-256); null if there is none. Looks
-/// at every account, so that the time taken tells nothing about the keys.
+/// Returns the account whose key has this digest (lower-case hex SHA-256), or null if there is
+/// none. Always compares with every account, so that the time taken reveals nothing about the keys.
 [[nodiscard]] const account_spec* find_account_by_key(const configuration* config,
                                                       const std::string& key_digest);
 
--- a/include/cedarpoint/request/open_requests.h
+++ b/include/cedarpoint/request/open_requests.h
@@ -14,13 +14,13 @@
 
 namespace cedarpoint {
 
-/// A request between its admission and its final answer.
+/// A request between admission and final answer.
 struct open_request {
     enum class phase {
-        claiming,   ///< waits for the word of the account's home failure domain
+        claiming,   ///< waits for the claim from the account's home failure domain
         queued,     ///< waits for a free slot
-        running,    ///< its attempt is with a runner
-        backing_off ///< rests until `retry_at`
+        running,    ///< an attempt runs at a runner
+        backing_off ///< waits until `retry_at`
     };
 
     request_facts facts;
@@ -28,46 +28,46 @@
     phase at = phase::queued;
     instant retry_at;
     bool claimed = false;
-    bool sending = false;     ///< the present attempt handed bytes to its connection
+    bool sending = false;     ///< the present attempt passed bytes to its connection
     bool sent = false;        ///< an attempt that has ended may have run
-    bool answered = false;    ///< the answer's head went to the caller
-    std::uint64_t events = 0; ///< whole events that the caller has
+    bool answered = false;    ///< the head of the response was passed to the caller
+    std::uint64_t events = 0; ///< number of whole events passed to the caller
     int attempts = 0;
-    attempt_id attempt;           ///< the latest
-    runner_id upstream;           ///< of the latest attempt
-    endpoint address;             ///< of that upstream
-    bool leaving = false;         ///< that upstream, when the attempt began
-    instant began_at;             ///< the latest attempt
-    bool asked_for_pause = false; ///< its runner, in its answer
+    attempt_id attempt;           ///< the latest attempt
+    runner_id upstream;           ///< upstream of the latest attempt
+    endpoint address;             ///< address of `upstream`
+    bool leaving = false;         ///< `upstream` was draining when the attempt began
+    instant began_at;             ///< start of the latest attempt
+    bool asked_for_pause = false; ///< the response to the latest attempt asked for a pause
 
-    /// Notes that its attempt ended so, and says what the failure rule must know.
+    /// Records the failure of the latest attempt and returns the input of the failure rule.
     [[nodiscard]] failed_attempt fail(attempt_end how);
 };
 
-/// All open requests of a daemon and the attempts that run for them. Owns them; a reference stays
-/// good until its request is closed. Relies on its user for every decision.
+/// Owns all open requests of a daemon and the index of their running attempts. A reference is valid
+/// until its request is closed. Makes no decisions.
 class open_requests {
 public:
-    /// Opens a request; one with the same id is replaced.
+    /// Adds a request, replacing one with the same id.
     open_request& add(request_facts facts, admitted_call call);
-    /// `request` may be the request's own copy of its id.
+    /// Removes the request. `request` may refer to the id stored in the request itself.
     void close(const request_id& request);
-    /// Null if it is not open.
+    /// Returns null if the request is not open.
     [[nodiscard]] open_request* find(const request_id& request);
-    /// It must be open.
+    /// Returns the request, which must be open.
     [[nodiscard]] open_request& at(const request_id& request) { return requests_.at(request); }
 
-    /// Gives the request a new attempt, with a number of its own, at the place.
+    /// Starts a new attempt of the request at `upstream`, under a new attempt id.
     void begin_attempt(instant now, open_request& it, const runner_id& upstream);
-    /// From now on nothing is heard of the attempt.
+    /// Removes the attempt: `find_attempt` no longer finds it.
     void end_attempt(attempt_id attempt) { attempts_.erase(attempt.value); }
-    /// The request that the attempt runs for. Null if the attempt has ended.
+    /// Returns the request of the attempt, or null if the attempt has ended.
     [[nodiscard]] open_request* find_attempt(attempt_id attempt);
     [[nodiscard]] const open_request* find_attempt(attempt_id attempt) const;
 
-    /// Those whose pause before the next attempt is over, in order of their ids.
+    /// Returns the requests whose pause before the next attempt is over, in order of their ids.
     [[nodiscard]] std::vector<request_id> rested(instant now) const;
-    /// Those that wait and of which nothing ran, in order of their ids.
+    /// Returns the waiting requests of which nothing ran, in order of their ids.
     [[nodiscard]] std::vector<request_id> untouched() const;
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
--- a/include/cedarpoint/request/refusal.h
+++ b/include/cedarpoint/request/refusal.h
@@ -8,13 +8,13 @@
 
 namespace cedarpoint {
 
-/// Whether a request that ended in an error ran, as far as is known. Tells the caller whether a
-/// retry can run it twice.
+/// Whether a request that ended in an error was run, as far as is known. It shows the caller
+/// whether a retry could run it twice.
 enum class run_state {
-    not_run,      ///< no runner took it: safe to retry
-    may_have_run, ///< a runner may have taken it
-    ran_cut,      ///< it ran, the answer was cut off
-    ran           ///< an earlier call with the same idempotency key ran to its end
+    not_run,      ///< no runner accepted it: safe to retry
+    may_have_run, ///< a runner may have accepted it
+    ran_cut,      ///< it ran, but the response was cut off
+    ran           ///< an earlier request with the same idempotency key completed
 };
 
 /// Every error that a caller can get; `describe` maps it to HTTP.
@@ -42,9 +42,9 @@
     quarantined
 };
 
-/// How an error looks on the wire.
+/// The HTTP representation of an error code.
 struct error_shape {
-    int status = 0;        ///< HTTP
+    int status = 0;        ///< HTTP status
     std::string_view name; ///< `error.code` in the body
 };
 
@@ -52,16 +52,16 @@
 /// `error.ran` in the body.
 std::string_view name_of(run_state it);
 
-/// The error response to a request that a runner did not answer.
+/// An error that the daemon itself returns to the caller.
 struct refusal {
     error_code code = error_code::bad_request;
     run_state ran = run_state::not_run;
     std::string text;
-    std::optional<milliseconds> retry_after; ///< empty: no hint when to retry
+    std::optional<milliseconds> retry_after; ///< empty: no retry hint
 };
 
-/// The response body: {"error":{"code","ran","message","request_id","retry_after_ms"}}, the last
-/// only if there is a hint.
+/// Returns the response body: {"error":{"code","ran","message","request_id","retry_after_ms"}}.
+/// The last field is present only if there is a retry hint.
 std::string to_json(const refusal& it, std::string_view request);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/request/request_facts.h
+++ b/include/cedarpoint/request/request_facts.h
@@ -11,7 +11,7 @@
 
 namespace cedarpoint {
 
-/// What a caller asked for, as read from its head and body.
+/// The properties of a caller's request, read from its head and body.
 struct request_facts {
     request_id id;
     std::string key_digest; ///< lower-case hex SHA-256 of the account's secret
@@ -21,11 +21,11 @@
     bool safe_method = false; ///< GET or HEAD
     std::optional<session_id> session;
     std::string idempotency_key;
-    bool not_repeatable = false; ///< the caller marked it
+    bool not_repeatable = false; ///< the caller marked the request as not repeatable
     std::optional<priority_class> priority;
     std::optional<instant> deadline;
-    std::uint64_t prefix = 0;                       ///< hash of the prompt's beginning; 0: none
-    std::optional<request_fingerprint> fingerprint; ///< empty: it is not watched for crashes
+    std::uint64_t prefix = 0;                       ///< hash of the prompt prefix; 0: none
+    std::optional<request_fingerprint> fingerprint; ///< empty: not tracked for runner crashes
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/routing/router.h
+++ b/include/cedarpoint/routing/router.h
@@ -19,53 +19,55 @@
 
 namespace cedarpoint {
 
-/// What a choice depends on, besides the state of the targets.
+/// The properties of a request that the choice of its target depends on.
 struct route_query {
-    std::vector<pool_id> pools;         ///< any will do, in no order; empty for a service
+    std::vector<pool_id> pools;         ///< any of them can serve it, in no order; empty: service
     service_id service;                 ///< empty for a model
-    std::optional<group_id> session_at; ///< where the session's state is
-    std::uint64_t prefix = 0;           ///< hash of the prompt's beginning; 0: none
-    std::uint64_t salt = 0;             ///< spreads equal choices
-    std::set<runner_id> tried;          ///< not to be chosen again
+    std::optional<group_id> session_at; ///< group that holds the session's state
+    std::uint64_t prefix = 0;           ///< hash of the prompt prefix; 0: none
+    std::uint64_t salt = 0;             ///< spreads requests over targets with equal scores
+    std::set<runner_id> tried;          ///< upstreams of earlier attempts, which are excluded
 };
 
-/// One place that was looked at, for the decision log.
+/// One target that was considered, for the decision log.
 struct scored_target {
     const target* place = nullptr;
-    double score = 0; ///< the higher the better
+    double score = 0; ///< higher is better
     std::string note; ///< why it can't take the request; empty if it can
 };
 
-/// The outcome of a choice. It points into the router's targets: good until they are replaced.
+/// The result of `router::choose`. Its pointers refer to the router's targets and are valid until
+/// these are replaced.
 struct route_choice {
-    const target* chosen = nullptr; ///< null when nothing can take the request now
-    bool any_alive = false;         ///< a place can take it, or could if it were not full
+    const target* chosen = nullptr; ///< null if no target can take the request now
+    bool any_alive = false;         ///< a target can take it, or could if it were less busy
     std::vector<scored_target> looked_at;
     std::string reason;
 };
 
-/// Chooses the place where a request runs: of those that can take it, the one with the highest
-/// score. Owns the targets, the requests in flight at each upstream, the upstreams' breakers and
-/// the memory of prompt prefixes. Relies on its user to report each start and its end once.
+/// Chooses the target for a request: of those that can take it, the one with the highest score.
+/// Owns the targets, the counts of requests in flight and the breakers of the upstreams, and the
+/// table of prompt prefixes. The user must report the start and the end of each attempt exactly
+/// once.
 ///
-/// The score is the sum of one part for each ranking rule. Its unit is a target's load: 0 with all
-/// slots free, 1 with all slots busy (a full target is out, so load counts for less than 1).
+/// The score is the sum of one term for each ranking rule. Its unit is a target's load: 0 with all
+/// slots free, 1 with all slots busy (a full target is excluded, so load counts for less than 1).
 ///   load            - load             the least loaded
-///   failure domain  + home_bonus       the daemon's own before another
+///   failure domain  + home_bonus       the daemon's own domain before others
 ///   session         + session_bonus    the group that holds the session's state
-///   prefix cache    + prefix_bonus     the group that last had a prompt with this beginning
-///   spread          + less than 1e-6   meant only to break ties
+///   prefix cache    + prefix_bonus     the group that last had a prompt with this prefix
+///   tie break       + less than 1e-6   chooses among targets with equal scores
 /// The order session, prefix, load follows the LoxiLB gateway's documentation (docs/DESIGN.md).
 class router {
 public:
-    /// More than all other parts together: the session's group wins if it can take the request.
+    /// More than all other terms together: the session's group wins if it can take the request.
     static constexpr double session_bonus = 4.0;
-    /// As much as 40% of a target's slots: a busier group than that loses.
+    /// Equal to 40% of a target's slots: the group loses if its load is higher by more than that.
     static constexpr double prefix_bonus = 0.4;
-    /// As much as the whole range of load: load alone never sends a request out of the daemon's
-    /// failure domain while a place there is free.
+    /// Equal to the whole range of load: load alone never moves a request out of the daemon's
+    /// failure domain while a target there has a free slot.
     static constexpr double home_bonus = 1.0;
-    /// Prefixes remembered; the least recently used goes first.
+    /// Size of the prefix table, which evicts the least recently used entry.
     static constexpr std::size_t max_prefixes = 65536;
 
     router(failure_domain_id home, own_permit_options permits)
@@ -73,21 +75,24 @@
     {
     }
 
-    /// Replaces the targets; what is in flight stays counted.
+    /// Replaces the targets. The counts of requests in flight are kept.
     void set_targets(target_table all);
     [[nodiscard]] const target_table& targets() const { return targets_; }
 
-    /// Counts nothing: the choice holds once `on_dispatch` is called for it.
+    /// Chooses a target. Nothing is reserved there until `on_dispatch` is called.
     [[nodiscard]] route_choice choose(instant now, const route_query& query);
 
-    /// A request sets out to `place`. `prefix`: hash of its prompt's beginning, 0 for none.
+    /// Records that a request is sent to `place`. `prefix` is the hash of its prompt prefix, or 0.
     void on_dispatch(instant now, const target& place, std::uint64_t prefix);
-    /// It came to its end; `failed` counts against the upstream's breaker.
+    /// Records that a request at `upstream` has ended. `failed` counts as a failure in the
+    /// upstream's breaker.
     void on_end(instant now, const runner_id& upstream, bool failed);
-    /// An answer came at `now` to a request sent at `sent_at`, and says this of the upstream.
+    /// Applies the signals in a response that arrived at `now` to a request sent at `sent_at`.
+    /// Returns which of them are new.
     signal_news on_signals(instant now, const runner_id& upstream, const answer_signals& in,
                            instant sent_at);
-    /// This daemon's requests there; other daemons' are in `target::reported_others`.
+    /// Returns the number of this daemon's requests in flight at `upstream`. Those of other daemons
+    /// are in `target::reported_others`.
     [[nodiscard]] int in_flight(const runner_id& upstream) const;
 
 private:
@@ -98,7 +103,7 @@
 
     [[nodiscard]] std::string why_out(instant now, const target& it, const route_query& query);
     [[nodiscard]] double score(const target& it, const route_query& query) const;
-    /// Requests there, of this daemon and of others.
+    /// Returns the number of requests in flight at the target, of this and of other daemons.
     [[nodiscard]] int requests_at(const target& it) const;
     [[nodiscard]] double load(const target& it) const;
     [[nodiscard]] bool has_cached(const target& it, std::uint64_t prefix) const;
@@ -109,7 +114,7 @@
     std::unordered_map<runner_id, int> in_flight_;
     std::unordered_map<runner_id, breaker> breakers_;
     send_holds holds_;
-    send_permits permits_; ///< no leader speaks of limits here, so all are this daemon's own
+    send_permits permits_; ///< issued by this daemon, since no leader announces limits here
     std::unordered_map<std::uint64_t, prefix_entry> prefixes_;
     std::list<std::uint64_t> prefix_order_; ///< least recently used first
 };
--- a/include/cedarpoint/routing/target.h
+++ b/include/cedarpoint/routing/target.h
@@ -10,23 +10,23 @@
 
 namespace cedarpoint {
 
-/// A place that a request can be sent to: a serving group's first runner, or a service's process.
+/// A destination for requests: the first runner of a serving group, or a process of a service.
 struct target {
     runner_id upstream;
-    std::optional<group_id> group; ///< none for plain services
+    std::optional<group_id> group; ///< empty for plain services
     std::optional<pool_id> pool;
     service_id service;
-    epoch assignment; ///< runners that check it refuse requests of another one
+    epoch assignment; ///< runners that check epochs refuse requests with another one
     endpoint address;
-    int slots = 1; ///< requests that it serves at once
+    int slots = 1; ///< requests that it can serve concurrently
     failure_domain_id failure_domain;
-    instant valid_until;     ///< end of the grant; no new requests from then on
-    int reported_others = 0; ///< requests in flight from other daemons, by the last load report
+    instant valid_until;     ///< end of the grant; no new requests are sent after it
+    int reported_others = 0; ///< requests of other daemons in flight, from the last load report
     bool present = true;
     bool draining = false;
 };
 
-/// All places that this daemon knows.
+/// All targets that this daemon knows.
 using target_table = std::vector<target>;
 
 } // namespace cedarpoint
--- a/include/cedarpoint/sessions/session_table.h
+++ b/include/cedarpoint/sessions/session_table.h
@@ -10,21 +10,21 @@
 
 namespace cedarpoint {
 
-/// Remembers which group served each session last, and so holds its state. Owns the table: an LRU
-/// cache of `max_sessions`, without those idle for `idle_limit`. Sessions are per account: equal
-/// names of two accounts are two sessions. Relies on its user to call `expire` now and then.
+/// Maps each session to the group that served it last and therefore holds its state. An LRU cache
+/// of `max_sessions` entries, without those idle for longer than `idle_limit`. Session ids are
+/// scoped to the account. The user must call `expire` periodically.
 class session_table {
 public:
     static constexpr duration idle_limit = std::chrono::hours{24};
     static constexpr std::size_t max_sessions = 200'000;
 
-    /// Empty if the session is not known.
+    /// Returns the group that served the session last; empty if the session is not known.
     [[nodiscard]] std::optional<group_id> find(const client_account_id& account,
                                                const session_id& session) const;
-    /// Records where a session was served. True if it was served by another group before.
+    /// Records that `group` serves the session. Returns true if another group served it before.
     bool place(instant now, const client_account_id& account, const session_id& session,
                const group_id& group);
-    /// Forgets sessions idle for longer than `idle_limit`.
+    /// Removes sessions idle for longer than `idle_limit`.
     void expire(instant now);
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
--- a/src/admission/account_limits.cpp
+++ b/src/admission/account_limits.cpp
@@ -10,10 +10,11 @@
 
 constexpr double us_per_minute = 60e6;
 constexpr double us_per_ms = 1000;
-/// The bucket's size: ten seconds' worth of requests may start at once.
+/// Capacity of the token bucket, in minutes at the full rate: a burst of ten seconds' worth of
+/// requests may start at once.
 constexpr double burst_minutes = 1.0 / 6;
 
-/// Rounded up, and at least 1.
+/// Returns this daemon's share of a limit, rounded up and at least 1.
 int share_of(int limit, double share)
 {
     return std::max(1, static_cast<int>(std::ceil(limit * share)));
@@ -45,7 +46,7 @@
         const double per_minute = account.requests_per_minute * share;
         refill(it, now, per_minute);
         if (it.tokens < 1) {
-            // Until the token is whole, rounded up to a whole millisecond.
+            // Time until a whole token is available, rounded up to whole milliseconds.
             const auto wait =
                 static_cast<std::int64_t>((1 - it.tokens) * us_per_minute / per_minute / us_per_ms);
             return refusals::over_rate(milliseconds{wait + 1});
--- a/src/admission/wait_queue.cpp
+++ b/src/admission/wait_queue.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The class that the request counts as now: one higher than `own` once it has waited long.
+/// Returns the effective class of a request: one class higher than `own` after `promote_after`.
 std::size_t rank_of(const waiting& it, std::size_t own, instant now)
 {
     const bool promoted = own > 0 && now - it.since >= wait_queue::promote_after;
@@ -22,7 +22,7 @@
     const auto n = static_cast<std::size_t>(it.priority);
     auto& own = by_class_[n][it.account];
     if (own.requests.empty()) {
-        // An account that was idle starts level with the others: idling earns no credit.
+        // An account that was idle starts at the current virtual time: idle time earns no credit.
         own.virtual_time = std::max(own.virtual_time, clock_[n]);
     }
     own.requests.push_back(it);
--- a/src/claims/claim_table.cpp
+++ b/src/claims/claim_table.cpp
@@ -23,7 +23,7 @@
     const auto it = records_.find(key);
     if (it != records_.end() && it->second.outcome == claim_outcome::not_run &&
         it->second.holder == holder) {
-        return claim_verdict::unavailable; // a late retry of a claim that its holder released
+        return claim_verdict::unavailable; // a late retry of a claim that was released
     }
     const bool free = it == records_.end() || it->second.outcome == claim_outcome::not_run;
     if (free) {
--- a/src/core/packing.cpp
+++ b/src/core/packing.cpp
@@ -14,7 +14,9 @@
 
 namespace pb = google::protobuf::io;
 
-constexpr int fast_level = 1; ///< zlib's: what names and numbers give beyond it costs too much time
+/// zlib compression level. For documents of names and numbers, the higher levels cost more time
+/// than the smaller size is worth.
+constexpr int fast_level = 1;
 
 } // namespace
 
--- a/src/core/peer_clock.cpp
+++ b/src/core/peer_clock.cpp
@@ -5,8 +5,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Messages overtake each other by less than this. A stamp that lies further back is of a clock
-/// that has begun anew: the peer's machine was started again.
+/// Messages of one peer are reordered by less than this. A stamp that is further behind the latest
+/// one comes from a clock that was reset: the peer's machine was restarted.
 constexpr duration longest_overtaking = seconds{10};
 
 } // namespace
--- a/src/core/peer_clocks.cpp
+++ b/src/core/peer_clocks.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// A steady clock starts near zero with its machine; more than a century is no reading of one.
+/// Steady clocks start near zero when the machine boots, so a larger reading (more than 140 years)
+/// is not valid.
 constexpr std::int64_t latest_stamp_us = std::int64_t{1} << 52;
 
 } // namespace
--- a/src/groups/group.cpp
+++ b/src/groups/group.cpp
@@ -34,7 +34,7 @@
 {
     switch (to) {
     case group_state::loading:
-        return false; // only a new assignment loads
+        return false; // only a new assignment enters this state
     case group_state::serving:
         return from == group_state::loading;
     case group_state::draining:
--- a/src/groups/group_controller.cpp
+++ b/src/groups/group_controller.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// True if the runner's last report has this phase and this epoch.
+/// Returns true if the runner's latest report has this phase and this epoch.
 bool reports(const runner_watch& watch, const runner_id& runner, epoch assignment,
              runner_phase phase)
 {
@@ -90,7 +90,7 @@
         {group_state::stopped, &group_controller::look_at_ended},
         {group_state::lost, &group_controller::look_at_ended},
     };
-    (void)since(in.now, it); // starts the timer of a new state
+    (void)since(in.now, it); // starts the timer if the state is new
     for (const auto& [state, function] : table) {
         if (state == it.state) {
             (this->*function)(in, it, out);
@@ -191,8 +191,8 @@
         out.proposals.push_back(move_to(it, group_state::lost, std::move(why)));
         return;
     }
-    // A daemon may send to the group until its grant expires. A report sent after that counts every
-    // request; `report_lag` allows for the time that a report takes.
+    // A daemon may send to the group until its grant expires. A report sent after that counts all
+    // requests. `report_lag` covers the transit time of the report.
     const auto entered = since(in.now, it);
     const auto spent = in.now - entered;
     const auto settled = entered + options_.grant_ttl + options_.drift + options_.report_lag;
--- a/src/groups/placement.cpp
+++ b/src/groups/placement.cpp
@@ -14,7 +14,7 @@
     }));
 }
 
-/// The share of a pool's groups that it has: the emptier pool goes first.
+/// Returns the fraction of the pool's declared groups that load or serve.
 double filled(const placement_view& view, const pool_spec& pool)
 {
     return static_cast<double>(serving_groups(view.groups, pool.id)) / pool.count;
--- a/src/request/caller_admission.cpp
+++ b/src/request/caller_admission.cpp
@@ -9,7 +9,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The first routing rule for the model that holds for the account decides.
+/// Routes by the first rule that matches the model and the account.
 std::optional<refusal> route_model(const request_facts& facts, const configuration& config,
                                    admitted_call& call)
 {
@@ -26,19 +26,20 @@
     call.repeatable = !facts.not_repeatable;
     call.lane = "model " + model.str();
     for (const auto& pool : call.query.pools) {
-        call.lane += " " + pool.str(); // accounts with other routes must not hold each other up
+        call.lane += " " + pool.str(); // requests with different routes must not block each other
     }
     return {};
 }
 
-/// Whole path segments only: "/shop" is over "/shop" and "/shop/a", not over "/shopping".
+/// Returns true if `prefix` matches `path` by whole segments: "/shop" matches "/shop" and
+/// "/shop/a", but not "/shopping".
 bool is_under(const std::string& path, const std::string& prefix)
 {
     return path.starts_with(prefix) &&
            (prefix.back() == '/' || path.size() == prefix.size() || path[prefix.size()] == '/');
 }
 
-/// The service with the longest path prefix decides.
+/// Routes to the service with the longest matching path prefix.
 std::optional<refusal> route_service(const request_facts& facts, const configuration& config,
                                      admitted_call& call)
 {
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -96,7 +96,8 @@
     }
     auto& it = *found;
     if (verdict != claim_verdict::granted) {
-        // "Unavailable" may hide a grant whose answer was lost: nothing is sent, so say so.
+        // After `unavailable` the claim may have been granted and the answer lost. Nothing was
+        // sent to a runner, so the claim is ended as not run.
         it.claimed = verdict == claim_verdict::unavailable;
         give_up(request, refusals::not_claimed(verdict), out);
         return out;
@@ -129,7 +130,7 @@
     give_up_queued(it.facts.id, refusals::queue_full(), out);
 }
 
-/// Starts what can be started, queue by queue, until the next in each finds no place.
+/// Starts queued requests, queue by queue, until the next one in each queue has no target.
 void dispatcher::pump(instant now, actions& out)
 {
     for (auto& [name, lane] : lanes_) {
@@ -150,7 +151,7 @@
     }
     auto choice = router_.choose(now, query);
     if (choice.chosen == nullptr && !query.tried.empty()) {
-        query.tried.clear(); // nothing else is free: one that failed may be back
+        query.tried.clear(); // no other target is free: one that failed may work again
         choice = router_.choose(now, query);
     }
     if (choice.chosen == nullptr) {
@@ -220,7 +221,7 @@
     open_.end_attempt(attempt);
     note_end(now, *it, how, out);
     const bool failed = how != attempt_end::complete && how != attempt_end::refused &&
-                        !it->asked_for_pause; // a runner that asks for a pause is well
+                        !it->asked_for_pause; // a runner that asks for a pause works
     router_.on_end(now, it->upstream, failed);
     if (how == attempt_end::complete) {
         out.emplace_back(
@@ -265,7 +266,7 @@
         crashes_.on_answer(now, *it.facts.fingerprint);
     }
     if (how != attempt_end::cut || it.leaving) {
-        return; // a runner that is leaving ends as planned
+        return; // a leaving runner ends as planned
     }
     const bool is_first = crashes_.on_cut(
         *it.facts.fingerprint, {it.upstream, it.began_at, now, {}, it.facts.id, it.began_at});
@@ -351,7 +352,8 @@
     give_up(request, refusal_in_queue(std::move(why), {it.answered, it.sent}), out);
 }
 
-/// The end of every request that was admitted.
+/// Ends an admitted request: ends its claim and releases its place in the queue and its account's
+/// usage.
 void dispatcher::close(const request_id& request, claim_outcome outcome, actions& out)
 {
     const auto& it = open_.at(request);
--- a/src/request/failure_rule.cpp
+++ b/src/request/failure_rule.cpp
@@ -15,7 +15,7 @@
         return failure_step::refuse;
     }
     if (it.answered) {
-        // The time to give up bounds the wait for an answer to begin; this one has begun.
+        // `give_up` limits the wait for the response to begin; this response has begun.
         return it.resumable ? failure_step::resume : failure_step::refuse;
     }
     return now < it.give_up ? failure_step::retry : failure_step::refuse;
--- a/src/request/refusals.cpp
+++ b/src/request/refusals.cpp
@@ -3,11 +3,11 @@
 namespace cedarpoint::refusals {
 namespace {
 
-// When a caller is told to try again.
-constexpr milliseconds short_retry{1000}; ///< what is full or away now may be free or back
+// Retry hints for callers.
+constexpr milliseconds short_retry{1000}; ///< missing capacity may be available again by then
 constexpr milliseconds claim_retry{2000}; ///< the claim's holder or home must answer first
 
-/// A quarantine lasts as long as the daemons remember it.
+/// A quarantine lasts until the daemons discard its record.
 constexpr milliseconds quarantine_retry{3'600'000};
 
 } // namespace
--- a/src/routing/breaker.cpp
+++ b/src/routing/breaker.cpp
@@ -10,7 +10,8 @@
 void breaker::on_dispatch(instant now)
 {
     if (is_open()) {
-        // This is the trial. If its end never comes, the next may start `open_time` later.
+        // This request is the trial. If its end is never reported, the next trial may start after
+        // `open_time`.
         retry_at_ = now + open_time;
     }
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -9,7 +9,7 @@
 constexpr const char* rate_limited_note = "rate limited";
 constexpr const char* paused_note = "paused";
 
-/// For a place that could take the request if it had less to do.
+/// Returns true for the note of a target that could take the request if it were less busy.
 bool is_busy(const std::string& note)
 {
     return note == full_note || note == rate_limited_note || note == paused_note;
@@ -24,12 +24,12 @@
            std::find(query.pools.begin(), query.pools.end(), *it.pool) != query.pools.end();
 }
 
-/// 0 to 1e-6, the same for the same request and target: without it, of equal targets the first in
-/// the table would always be chosen.
+/// Returns a value from 0 to 1e-6 that is always the same for the same salt and target. Without it,
+/// the first of several targets with equal scores would always be chosen.
 double spread(const target& it, std::uint64_t salt)
 {
-    constexpr std::uint64_t golden_ratio = 0x9E3779B97F4A7C15ULL; // 2^64 over it: mixes well
-    constexpr unsigned kept_bits = 20;                            // the product's highest
+    constexpr std::uint64_t golden_ratio = 0x9E3779B97F4A7C15ULL; // 2^64 divided by it; mixes well
+    constexpr unsigned kept_bits = 20;                            // highest bits of the product
     constexpr double tiny = 1e-6;
     const auto mixed = (std::hash<runner_id>{}(it.upstream) ^ salt) * golden_ratio;
     return static_cast<double>(mixed >> (64U - kept_bits)) / (1U << kept_bits) * tiny;
@@ -53,7 +53,8 @@
     return prefix != 0 && it.group && found != prefixes_.end() && found->second.group == *it.group;
 }
 
-/// The first reason that fits, for the decision log; empty if the place can take the request.
+/// Returns the first reason why the target can't take the request, for the decision log; empty if
+/// it can.
 std::string router::why_out(instant now, const target& it, const route_query& query)
 {
     if (query.tried.contains(it.upstream)) {
--- a/src/sessions/session_table.cpp
+++ b/src/sessions/session_table.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Ids come from JSON or a checked header and hold no zero byte.
+/// Joins the two ids with a zero byte, which neither contains: they come from JSON or a validated
+/// header.
 std::string key_of(const client_account_id& account, const session_id& session)
 {
     return account.str() + '\0' + session.str();
--- a/tests/core/peer_clock_test.cpp
+++ b/tests/core/peer_clock_test.cpp
@@ -1,4 +1,4 @@
-// When messages of another daemon were made, by this daemon's clock.
+// Tests how the creation time of a peer's message is converted to this daemon's clock.
 
 #include "cedarpoint/core/peer_clock.h"
 #include "cedarpoint/core/peer_clocks.h"
@@ -8,13 +8,13 @@
 namespace cedarpoint {
 namespace {
 
-/// By this daemon's clock.
+/// Returns a time on this daemon's clock.
 instant at(int ms)
 {
     return instant{} + seconds{1000} + milliseconds{ms};
 }
 
-/// The same moment by the peer's clock, which is 400 s behind.
+/// Returns the same time on the peer's clock, which is 400 s behind.
 instant stamp(int ms)
 {
     return at(ms) - seconds{400};
@@ -22,7 +22,8 @@
 
 class a_peer_clock : public testing::Test {
 protected:
-    /// When a message that was made then, and came so much later, seems to have been made.
+    /// Delivers a message that was created at `made_ms` and took `transit_ms`. Returns its
+    /// estimated creation time.
     instant hear(int made_ms, int transit_ms)
     {
         return clock.on_message(at(made_ms + transit_ms), stamp(made_ms));
@@ -31,7 +32,7 @@
     peer_clock clock;
 };
 
-// Guards against an end of a runner that seems later than it was, since its report was held up.
+// Guards against a delayed report that makes a runner's end appear later than it happened.
 TEST_F(a_peer_clock, is_not_misled_by_messages_that_were_held_up)
 {
     EXPECT_EQ(hear(0, 3), at(3)) << "the transit of the fastest message is the error";
@@ -45,7 +46,7 @@
 {
     EXPECT_EQ(hear(0, 3000), at(3000));
     EXPECT_EQ(hear(2999, 1), at(3000));
-    EXPECT_EQ(hear(0, 3000), at(1)) << "told again";
+    EXPECT_EQ(hear(0, 3000), at(1)) << "the same message delivered again";
 }
 
 TEST_F(a_peer_clock, follows_a_drift)
--- a/tests/request/caller_admission_test.cpp
+++ b/tests/request/caller_admission_test.cpp
@@ -1,4 +1,4 @@
-// Who is admitted and where its request may go, at the edges of each check.
+// Tests which requests are admitted and how they are routed, at the boundaries of each check.
 
 #include "cedarpoint/request/caller_admission.h"
 
@@ -11,7 +11,7 @@
 constexpr duration longest_wait = seconds{30};
 constexpr duration tick = duration{1};
 
-/// Two accounts; model "m" goes to "own" for acme and to "shared" for the rest; two services.
+/// Two accounts; model "m" is routed to "own" for acme and to "shared" for the other; two services.
 configuration make_site()
 {
     configuration out;
@@ -63,7 +63,8 @@
     return it == nullptr ? std::nullopt : std::optional{*it};
 }
 
-/// The error's code; empty if the request is admitted. Nothing ran, whatever the code.
+/// Returns the error code, or empty if the request is admitted. Every error must have the run state
+/// `not_run`.
 std::optional<error_code> refused(const request_facts& facts)
 {
     auto verdict = judge(facts);
--- a/tests/request/dispatcher_crash_test.cpp
+++ b/tests/request/dispatcher_crash_test.cpp
@@ -1,5 +1,5 @@
-// Guards the daemons with a list of peers against a request that ends each runner which runs it:
-// what one has seen counts at all of them.
+// Guards daemons with a list of peers against a request that crashes each runner that runs it: the
+// crashes that one daemon observed must count at all daemons.
 
 #include "cedarpoint/request/dispatcher.h"
 
@@ -14,7 +14,7 @@
 constexpr int daemon_count = 8;
 constexpr int runner_count = 12;
 const request_fingerprint crashing{1, 1};
-/// Between two tries; a runner that ended is back by then.
+/// Time between two submissions, after which a crashed runner has restarted.
 constexpr duration pause = milliseconds{2500};
 
 std::shared_ptr<const configuration> make_site()
@@ -46,7 +46,7 @@
     return out;
 }
 
-/// Daemons that send each request to runners of a service; a marked one ends its runner.
+/// Daemons that send requests to the runners of a service. The request `crashing` ends its runner.
 class daemons_with_a_crashing_request : public testing::Test {
 protected:
     daemons_with_a_crashing_request()
@@ -59,7 +59,8 @@
         }
     }
 
-    /// One try at a daemon, to its end. True if it was refused as quarantined.
+    /// Submits a request to a daemon and plays all its attempts. Returns true if it was refused as
+    /// quarantined.
     bool ask(std::size_t at, const request_fingerprint& fingerprint)
     {
         request_facts facts;
@@ -92,7 +93,7 @@
         return quarantined;
     }
 
-    /// What each daemon knows reaches the others.
+    /// Delivers the crashes that each daemon knows to all others.
     void share()
     {
         for (const auto& from : daemons) {
@@ -107,7 +108,7 @@
     instant now{seconds{100}};
     std::vector<std::unique_ptr<dispatcher>> daemons;
     int asked = 0;
-    int ends = 0; ///< of runners, under the marked request
+    int ends = 0; ///< number of runners that ended under the request `crashing`
 };
 
 TEST_F(daemons_with_a_crashing_request, add_up_what_each_of_them_has_seen)
--- a/tests/request/dispatcher_scenario_test.cpp
+++ b/tests/request/dispatcher_scenario_test.cpp
@@ -1,4 +1,4 @@
-// Plays tests/request/scenarios/*.scenario through the dispatcher, message by message.
+// Runs tests/request/scenarios/*.scenario against the dispatcher, step by step.
 
 #include "cedarpoint/request/dispatcher.h"
 #include "support/scenario_file.h"
@@ -17,7 +17,7 @@
     return text.empty() ? fallback : std::stoi(text);
 }
 
-/// The dispatcher with a site that the scenario sets up.
+/// A dispatcher with the configuration and the targets that the scenario sets up.
 class dispatcher_play {
 public:
     lines play(const scenario_step& step)
@@ -162,7 +162,7 @@
         return {};
     }
 
-    /// names ATTEMPT VALUE ...: the head of its answer, with these values of a rate limit.
+    /// names ATTEMPT VALUE ...: the response head of the attempt has these rate-limit values.
     lines names(const scenario_step& in)
     {
         std::vector<std::string> values;
@@ -175,7 +175,7 @@
         return {news.rate_limit ? "the rate limit has changed" : "no news"};
     }
 
-    /// pauses ATTEMPT VALUE: the head of its answer, a 503 with this Retry-After.
+    /// pauses ATTEMPT VALUE: the response head of the attempt is a 503 with this Retry-After.
     lines pauses(const scenario_step& in)
     {
         const auto value = in.word(1);
@@ -184,7 +184,7 @@
         return {};
     }
 
-    /// leaves ATTEMPT: the head of its answer says that the runner leaves.
+    /// leaves ATTEMPT: the response head of the attempt announces that the runner leaves.
     lines leaves(const scenario_step& in)
     {
         const auto news =
--- a/tests/request/failure_rule_test.cpp
+++ b/tests/request/failure_rule_test.cpp
@@ -1,4 +1,4 @@
-// What follows a failed attempt: each line of the rule, and the values at its edges.
+// Tests what follows a failed attempt: each line of the rule and its boundary values.
 
 #include "cedarpoint/request/dispatcher.h"
 #include "cedarpoint/request/failure_rule.h"
@@ -16,7 +16,7 @@
 constexpr attempt_end all_failures[] = {attempt_end::refused, attempt_end::unsent, attempt_end::cut,
                                         attempt_end::server_error};
 
-/// A first attempt, cut, of a request that may run twice and has time left.
+/// A cut first attempt of a request that may run twice and has time left.
 failed_attempt plain_failure()
 {
     return {.how = attempt_end::cut, .may_have_run = true, .give_up = now + seconds{1}};
@@ -85,7 +85,7 @@
     EXPECT_EQ(step_after(it), failure_step::refuse);
 }
 
-/// Every row of the rule, against the conditions written out as one formula.
+/// Compares every combination of the rule's inputs with the conditions written as one formula.
 TEST(a_request_that_failed, follows_the_rule_in_every_combination)
 {
     int rows = 0;
@@ -181,7 +181,7 @@
     EXPECT_EQ(retry_pause(1, salt_of(1000)), milliseconds{50});
 }
 
-/// A dispatcher with one account, one model and two groups that are never full.
+/// A dispatcher with one account, one model and two groups with 1000 slots each.
 class two_groups : public testing::Test {
 protected:
     two_groups()
@@ -208,8 +208,8 @@
         (void)it_.set_targets(now, std::move(all));
     }
 
-    /// Submits a request that its first runner refuses, which opens no breaker. True if it is sent
-    /// again.
+    /// Submits a request that its first runner refuses; the breaker does not count a refusal as a
+    /// failure. Returns true if the request is sent again.
     bool is_sent_again(int n)
     {
         request_facts facts;
@@ -241,8 +241,8 @@
 
 TEST_F(two_groups, send_a_failed_request_again_only_if_the_budget_allows_it)
 {
-    // The budget begins with 20 repeats; each first attempt adds 0.1, each repeat takes 1. Before
-    // its repeat the request n (from 0) finds 20 - 0.9 n: at least 1 up to n = 21.
+    // The budget starts with 20 tokens, each first attempt adds 0.1 and each retry takes 1. Before
+    // the retry of request n (from 0) it holds 20 - 0.9 n tokens: at least 1 up to n = 21.
     int again = 0;
     while (again < 100 && is_sent_again(again)) {
         ++again;
@@ -250,7 +250,7 @@
     EXPECT_EQ(again, 22);
 }
 
-/// A dispatcher with one account, one model and one place with a single slot.
+/// A dispatcher with one account, one model and one target with a single slot.
 class one_slot : public testing::Test {
 protected:
     one_slot()
@@ -281,7 +281,7 @@
         facts.model = model_id{"m"};
         return dispatch.submit(now, facts);
     }
-    /// Submits a request that is sent at once.
+    /// Submits a request that is sent immediately.
     void begin_attempt(const std::string& id)
     {
         for (const auto& each : submit(id)) {
@@ -314,11 +314,12 @@
 {
     begin_attempt("first");
     fill_queue();
-    (void)dispatch.attempt_ended(now, begun, attempt_end::cut); // one that waits takes the slot
+    // A waiting request takes the slot.
+    (void)dispatch.attempt_ended(now, begun, attempt_end::cut);
     (void)submit("the last place");
     ASSERT_EQ(dispatch.queued(), wait_queue::max_length);
     const auto error = refusal_of("first", dispatch.tick(now + seconds{2}));
-    ASSERT_TRUE(error.has_value()) << "its retry finds no place in the queue";
+    ASSERT_TRUE(error.has_value()) << "the queue is full when its retry is due";
     EXPECT_EQ(error->code, error_code::queue_full);
     EXPECT_EQ(error->ran, run_state::may_have_run);
 }
@@ -330,12 +331,14 @@
         (void)submit(fmt::format("waiting {}", n), priority_class::alarm);
     }
     (void)submit("in the slot", priority_class::alarm);
-    (void)dispatch.attempt_ended(now, begun, attempt_end::cut); // one that waits takes the slot
-    // Its retry rests for 100 ms at most.
+    // A waiting request takes the slot.
+    (void)dispatch.attempt_ended(now, begun, attempt_end::cut);
+    // The retry is delayed by at most 100 ms.
     EXPECT_FALSE(refusal_of("first", dispatch.tick(now + milliseconds{200})).has_value());
-    ASSERT_EQ(dispatch.queued(), wait_queue::max_length) << "its retry has the last place";
+    ASSERT_EQ(dispatch.queued(), wait_queue::max_length)
+        << "its retry has the last place in the queue";
     const auto error = refusal_of("first", submit("more urgent", priority_class::alarm));
-    ASSERT_TRUE(error.has_value()) << "it gives its place to a request of a higher class";
+    ASSERT_TRUE(error.has_value()) << "a request of a higher class displaces it";
     EXPECT_EQ(error->code, error_code::queue_full);
     EXPECT_EQ(error->ran, run_state::may_have_run);
 }
