--- a/src/groups/group_controller.cpp
+++ b/src/groups/group_controller.cpp
@@ -103,14 +103,14 @@
     for (const auto& node : it.nodes) {
         const auto* runner = in.config.find_runner_on(node);
         if (runner == nullptr) {
-            return "node " + node.str() + " has no runner any more";
+            return "node " + node.str() + " no longer has a runner";
         }
         if (!in.watch.is_present(in.now, runner->id)) {
             return "node " + node.str() + " is absent";
         }
         if (it.state != group_state::loading &&
             !reports(in.watch, runner->id, it.assignment, runner_phase::ready)) {
-            return "runner " + runner->id.str() + " has lost its place in the group";
+            return "runner " + runner->id.str() + " is not ready at the group's epoch";
         }
     }
     return {};
@@ -126,14 +126,14 @@
                       pool->adapters == it.adapters && pool->role == it.role &&
                       static_cast<std::size_t>(pool->size) == it.nodes.size();
     if (!same) {
-        return "declared otherwise now";
+        return "its declaration has changed";
     }
     bool counted = false;
     for (int n = 0; n < pool->count && !counted; ++n) {
         counted = group_of(pool->id, n) == it.id;
     }
     if (!counted) {
-        return "fewer groups declared now";
+        return "its pool now declares fewer groups";
     }
     if (in.drains.groups.contains(it.id)) {
         return "an operator drains the group";
@@ -201,8 +201,8 @@
     const auto heard = in.watch.heard_at(first);
     const bool empty = report && report->in_flight == 0 && heard && *heard >= settled;
     if (empty || spent >= options_.drain_bound) {
-        out.proposals.push_back(
-            move_to(it, group_state::stopped, empty ? "drained" : "drain bound passed"));
+        out.proposals.push_back(move_to(it, group_state::stopped,
+                                        empty ? "drained" : "not drained within the drain bound"));
     }
 }
 
--- a/src/groups/group_table.cpp
+++ b/src/groups/group_table.cpp
@@ -8,11 +8,11 @@
 std::string group_table::assign(group_record it, epoch floor)
 {
     if (records_.contains(it.id)) {
-        return "group " + it.id.str() + " has nodes already";
+        return "group " + it.id.str() + " already has nodes";
     }
     const std::set<node_id> distinct(it.nodes.begin(), it.nodes.end());
     if (it.nodes.empty() || distinct.size() != it.nodes.size()) {
-        return "a group needs nodes, each once";
+        return "a group needs at least one node and each node only once";
     }
     for (const auto& node : it.nodes) {
         if (const auto* other = find_by_node(node)) {
@@ -38,7 +38,7 @@
     }
     auto& record = it->second;
     if (record.assignment != assignment) {
-        return "group " + id.str() + " is at another epoch";
+        return "group " + id.str() + " has a different epoch";
     }
     if (!is_legal_step(record.state, to)) {
         return std::string{"a "} + std::string{name_of(record.state)} + " group can't become " +
