--- a/include/cedarpoint/admission/account_limits.h
+++ b/include/cedarpoint/admission/account_limits.h
@@ -25,8 +25,8 @@
 private:
     struct usage {
         int in_flight = 0;
-        double tokens = 0; ///< requests that may start now
-        instant filled{};  ///< when `tokens` was last updated
+        double tokens = 0;     ///< requests that may start now
+        instant refilled_at{}; ///< when `tokens` was last updated
         bool started = false;
     };
 
--- a/include/cedarpoint/admission/wait_queue.h
+++ b/include/cedarpoint/admission/wait_queue.h
@@ -36,12 +36,12 @@
     static constexpr std::size_t max_length = 2048;
     static constexpr duration promote_after = seconds{20};
 
-    /// Adds a request. Returns false if the queue is full; `shed` then returns a request that can
-    /// be displaced.
+    /// Adds a request. Returns false if the queue is full; `find_victim` then returns a request
+    /// that can be displaced.
     [[nodiscard]] bool push(const waiting& it);
     /// Returns the request to displace in favour of one of class `priority`: the newest request of
     /// the lowest class that has any. Empty if no request of a lower class than `priority` waits.
-    [[nodiscard]] std::optional<request_id> shed(priority_class priority);
+    [[nodiscard]] std::optional<request_id> find_victim(priority_class priority);
     /// Returns the next request to run, which stays queued until `remove`. Empty if none waits.
     [[nodiscard]] std::optional<request_id> next(instant now) const;
     /// Removes a request; does nothing if it is not queued. If `served`, the request counts towards
@@ -53,17 +53,19 @@
     [[nodiscard]] std::size_t size() const { return size_; }
 
 private:
-    static constexpr std::size_t classes = 3;
+    static constexpr std::size_t class_count = 3;
 
     /// One account's requests of one class.
-    struct lane {
+    struct account_queue {
         std::deque<waiting> requests;
         double virtual_time = 0; ///< sum of 1 / weight over the requests served so far
     };
-    using lanes = std::map<client_account_id, lane>;
+    using account_queues = std::map<client_account_id, account_queue>;
 
-    std::array<lanes, classes> by_class_; ///< by `priority_class`; the first is the highest
-    std::array<double, classes> clock_{}; ///< highest virtual time at which a request was served
+    /// Indexed by `priority_class`; the first is the highest.
+    std::array<account_queues, class_count> by_class_;
+    /// Highest virtual time at which a request of the class was served.
+    std::array<double, class_count> clock_{};
     std::size_t size_ = 0;
 };
 
--- a/include/cedarpoint/claims/claim.h
+++ b/include/cedarpoint/claims/claim.h
@@ -24,11 +24,11 @@
 
 /// The answer to a claim.
 enum class claim_verdict {
-    granted,     ///< only this holder may run the request
-    running,     ///< another holder has the claim
-    already_ran, ///< the request ran
-    unknown_end, ///< the request may have run
-    unavailable  ///< no answer from the home domain's leader in time: the request must not run
+    granted,         ///< only this holder may run the request
+    running,         ///< another holder has the claim
+    already_ran,     ///< the request ran
+    unknown_outcome, ///< the request may have run
+    unavailable      ///< no answer from the home domain's leader in time: the request must not run
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/claims/claim_table.h
+++ b/include/cedarpoint/claims/claim_table.h
@@ -34,7 +34,7 @@
     void restore(const claim_key& key, record it);
 
 private:
-    void forget_old(std::uint64_t now_ms);
+    void remove_expired(std::uint64_t now_ms);
 
     std::map<claim_key, record> records_;
     std::deque<std::pair<std::uint64_t, claim_key>> by_age_;
--- a/include/cedarpoint/core/packing.h
+++ b/include/cedarpoint/core/packing.h
@@ -12,7 +12,7 @@
 [[nodiscard]] std::string pack(std::string_view document);
 
 /// Decompresses the output of `pack`. Returns empty if `packed` is corrupt or if the document is
-/// larger than `most_bytes`.
-[[nodiscard]] std::optional<std::string> unpack(const std::string& packed, std::size_t most_bytes);
+/// larger than `max_bytes`.
+[[nodiscard]] std::optional<std::string> unpack(const std::string& packed, std::size_t max_bytes);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/groups/group_controller.h
+++ b/include/cedarpoint/groups/group_controller.h
@@ -95,19 +95,19 @@
 private:
     struct context;
 
-    void look_at_group(const context& in, const group_record& it, control_step& out);
-    void look_at_loading(const context& in, const group_record& it, control_step& out);
-    void look_at_serving(const context& in, const group_record& it, control_step& out);
-    void look_at_draining(const context& in, const group_record& it, control_step& out);
-    void look_at_ended(const context& in, const group_record& it, control_step& out);
+    void step_group(const context& in, const group_record& it, control_step& out);
+    void step_loading(const context& in, const group_record& it, control_step& out);
+    void step_serving(const context& in, const group_record& it, control_step& out);
+    void step_draining(const context& in, const group_record& it, control_step& out);
+    void step_ended(const context& in, const group_record& it, control_step& out);
     /// Returns the declared groups without nodes, except those with a drain mark.
     [[nodiscard]] std::vector<placement_need> find_missing(const context& in) const;
     /// Returns the nodes that can be assigned to a group.
     [[nodiscard]] static free_nodes find_free_nodes(const context& in);
     void place_missing(const context& in, control_step& out) const;
     void order_members(const context& in, const group_record& it, bool load, control_step& out);
-    [[nodiscard]] std::string why_lost(const context& in, const group_record& it) const;
-    [[nodiscard]] std::string why_unwanted(const context& in, const group_record& it) const;
+    [[nodiscard]] std::string loss_reason(const context& in, const group_record& it) const;
+    [[nodiscard]] std::string removal_reason(const context& in, const group_record& it) const;
     [[nodiscard]] instant since(instant now, const group_record& it);
 
     struct state_entry {
--- a/include/cedarpoint/groups/runner_watch.h
+++ b/include/cedarpoint/groups/runner_watch.h
@@ -35,14 +35,14 @@
     /// Returns the latest report; empty if there was none.
     [[nodiscard]] std::optional<runner_report> report_of(const runner_id& runner) const;
     /// Returns when the latest report arrived; empty if there was none.
-    [[nodiscard]] std::optional<instant> heard_at(const runner_id& runner) const;
+    [[nodiscard]] std::optional<instant> report_time(const runner_id& runner) const;
     /// Returns the highest epoch in any report so far; 0 if there was none.
     [[nodiscard]] epoch highest_epoch() const { return highest_; }
 
 private:
     struct entry {
         runner_report report;
-        instant heard;
+        instant received_at;
     };
 
     duration absent_after_;
--- a/include/cedarpoint/request/caller_admission.h
+++ b/include/cedarpoint/request/caller_admission.h
@@ -23,7 +23,7 @@
     instant give_up;        ///< time at which it is refused if still unanswered
     bool repeatable = true; ///< may be sent again even if a runner may have run it
     route_query query;      ///< the targets that may serve it
-    std::string lane;       ///< key of its wait queue: one queue for each set of routes
+    std::string queue_key;  ///< key of its wait queue: one queue for each set of routes
 };
 
 /// A request that is refused at admission.
--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -94,12 +94,12 @@
 
 private:
     void enqueue(instant now, open_request& it, actions& out);
-    void pump(instant now, actions& out);
+    void start_queued(instant now, actions& out);
     bool try_start(instant now, open_request& it, actions& out);
-    void after_failure(instant now, open_request& it, attempt_end how, actions& out);
+    void handle_failure(instant now, open_request& it, attempt_end how, actions& out);
     /// Reports to the crash witness what the end of the attempt shows about its request.
-    void note_end(instant now, const open_request& it, attempt_end how, actions& out);
-    [[nodiscard]] bool may_end_more_runners(const open_request& it, attempt_end how) const;
+    void record_attempt_end(instant now, const open_request& it, attempt_end how, actions& out);
+    [[nodiscard]] bool retry_may_crash_runner(const open_request& it, attempt_end how) const;
     void give_up(const request_id& request, refusal error, actions& out);
     /// As `give_up`, for a request that is in the queue or for which the queue is full.
     void give_up_queued(const request_id& request, refusal why, actions& out);
@@ -113,7 +113,7 @@
     token_retry_budget budget_;
     open_requests open_;
     crash_witness crashes_;
-    std::unordered_map<std::string, wait_queue> lanes_; ///< by `admitted_call::lane`
+    std::unordered_map<std::string, wait_queue> queues_; ///< by `admitted_call::queue_key`
     bool stopping_ = false;
 };
 
--- a/include/cedarpoint/request/open_requests.h
+++ b/include/cedarpoint/request/open_requests.h
@@ -66,9 +66,9 @@
     [[nodiscard]] const open_request* find_attempt(attempt_id attempt) const;
 
     /// Returns the requests whose pause before the next attempt is over, in order of their ids.
-    [[nodiscard]] std::vector<request_id> rested(instant now) const;
+    [[nodiscard]] std::vector<request_id> due_for_retry(instant now) const;
     /// Returns the waiting requests of which nothing ran, in order of their ids.
-    [[nodiscard]] std::vector<request_id> untouched() const;
+    [[nodiscard]] std::vector<request_id> not_yet_run() const;
     [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
 private:
--- a/include/cedarpoint/request/refusals.h
+++ b/include/cedarpoint/request/refusals.h
@@ -37,7 +37,7 @@
 refusal displaced();
 refusal deadline_passed_in_queue();
 /// For a request without a deadline that waited for the longest time allowed.
-refusal nothing_free_in_time();
+refusal no_capacity_in_time();
 /// For a request with part of its response already passed to the caller.
 refusal no_group_to_resume();
 /// @}
@@ -46,7 +46,7 @@
 /// @{
 refusal runner_failed();
 refusal runner_failed_while_answering();
-refusal no_runner_took_it();
+refusal no_runner_accepted();
 /// @}
 
 } // namespace cedarpoint::refusals
--- a/include/cedarpoint/request/token_retry_budget.h
+++ b/include/cedarpoint/request/token_retry_budget.h
@@ -13,9 +13,9 @@
     /// Tokens added by a first attempt: retries are at most a tenth of the requests.
     static constexpr double tokens_per_request = 0.1;
     /// Capacity of the budget and its initial value: the largest burst of retries.
-    static constexpr double most_tokens = 20;
+    static constexpr double max_tokens = 20;
 
-    void on_first_attempt() { tokens_ = std::min(most_tokens, tokens_ + tokens_per_request); }
+    void on_first_attempt() { tokens_ = std::min(max_tokens, tokens_ + tokens_per_request); }
     /// Takes a token and returns true if one more retry is allowed.
     [[nodiscard]] bool take()
     {
@@ -27,7 +27,7 @@
     }
 
 private:
-    double tokens_ = most_tokens;
+    double tokens_ = max_tokens;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/routing/router.h
+++ b/include/cedarpoint/routing/router.h
@@ -41,7 +41,7 @@
 struct route_choice {
     const target* chosen = nullptr; ///< null if no target can take the request now
     bool any_alive = false;         ///< a target can take it, or could if it were less busy
-    std::vector<scored_target> looked_at;
+    std::vector<scored_target> candidates;
     std::string reason;
 };
 
@@ -101,7 +101,8 @@
         std::list<std::uint64_t>::iterator order;
     };
 
-    [[nodiscard]] std::string why_out(instant now, const target& it, const route_query& query);
+    [[nodiscard]] std::string exclusion_reason(instant now, const target& it,
+                                               const route_query& query);
     [[nodiscard]] double score(const target& it, const route_query& query) const;
     /// Returns the number of requests in flight at the target, of this and of other daemons.
     [[nodiscard]] int requests_at(const target& it) const;
--- a/include/cedarpoint/routing/target.h
+++ b/include/cedarpoint/routing/target.h
@@ -20,7 +20,7 @@
     endpoint address;
     int slots = 1; ///< requests that it can serve concurrently
     failure_domain_id failure_domain;
-    instant valid_until;     ///< end of the grant; no new requests are sent after it
+    instant valid_until;     ///< end of the grant; no new requests are sent from then on
     int reported_others = 0; ///< requests of other daemons in flight, from the last load report
     bool present = true;
     bool draining = false;
--- a/src/admission/account_limits.cpp
+++ b/src/admission/account_limits.cpp
@@ -24,16 +24,16 @@
 
 void account_limits::refill(usage& it, instant now, double per_minute)
 {
-    const double most = std::max(1.0, per_minute * burst_minutes);
+    const double capacity = std::max(1.0, per_minute * burst_minutes);
     if (!it.started) {
         it.started = true;
-        it.tokens = most;
+        it.tokens = capacity;
     }
     else {
-        const auto gone = static_cast<double>((now - it.filled).count());
-        it.tokens = std::min(most, it.tokens + gone * per_minute / us_per_minute);
+        const auto elapsed = static_cast<double>((now - it.refilled_at).count());
+        it.tokens = std::min(capacity, it.tokens + elapsed * per_minute / us_per_minute);
     }
-    it.filled = now;
+    it.refilled_at = now;
 }
 
 std::optional<refusal> account_limits::admit(instant now, const account_spec& account, double share)
--- a/src/admission/wait_queue.cpp
+++ b/src/admission/wait_queue.cpp
@@ -22,7 +22,7 @@
     const auto n = static_cast<std::size_t>(it.priority);
     auto& own = by_class_[n][it.account];
     if (own.requests.empty()) {
-        // An account that was idle starts at the current virtual time: idle time earns no credit.
+        // Idle time earns no credit: an account that was idle starts no earlier than the others.
         own.virtual_time = std::max(own.virtual_time, clock_[n]);
     }
     own.requests.push_back(it);
@@ -30,9 +30,9 @@
     return true;
 }
 
-std::optional<request_id> wait_queue::shed(priority_class priority)
+std::optional<request_id> wait_queue::find_victim(priority_class priority)
 {
-    for (std::size_t n = classes; n-- > static_cast<std::size_t>(priority) + 1;) {
+    for (std::size_t n = class_count; n-- > static_cast<std::size_t>(priority) + 1;) {
         const waiting* newest = nullptr;
         for (const auto& [account, it] : by_class_[n]) {
             if (!it.requests.empty() &&
@@ -50,9 +50,9 @@
 std::optional<request_id> wait_queue::next(instant now) const
 {
     const waiting* best = nullptr;
-    std::size_t best_class = classes;
+    std::size_t best_class = class_count;
     double best_time = 0;
-    for (std::size_t n = 0; n < classes; ++n) {
+    for (std::size_t n = 0; n < class_count; ++n) {
         for (const auto& [account, own] : by_class_[n]) {
             if (own.requests.empty()) {
                 continue;
@@ -74,7 +74,7 @@
 
 void wait_queue::remove(const request_id& request, bool served)
 {
-    for (std::size_t n = 0; n < classes; ++n) {
+    for (std::size_t n = 0; n < class_count; ++n) {
         for (auto& [account, own] : by_class_[n]) {
             const auto it = std::find_if(own.requests.begin(), own.requests.end(),
                                          [&](const waiting& e) { return e.request == request; });
--- a/src/claims/claim_table.cpp
+++ b/src/claims/claim_table.cpp
@@ -4,7 +4,7 @@
 
 namespace cedarpoint {
 
-void claim_table::forget_old(std::uint64_t now_ms)
+void claim_table::remove_expired(std::uint64_t now_ms)
 {
     latest_ms_ = std::max(latest_ms_, now_ms);
     while (!by_age_.empty() && by_age_.front().first + window_ms < latest_ms_) {
@@ -19,7 +19,7 @@
 claim_verdict claim_table::begin(const claim_key& key, const request_id& holder,
                                  std::uint64_t now_ms)
 {
-    forget_old(now_ms);
+    remove_expired(now_ms);
     const auto it = records_.find(key);
     if (it != records_.end() && it->second.outcome == claim_outcome::not_run &&
         it->second.holder == holder) {
@@ -37,7 +37,7 @@
     case claim_outcome::ran:
         return claim_verdict::already_ran;
     default:
-        return claim_verdict::unknown_end;
+        return claim_verdict::unknown_outcome;
     }
 }
 
--- a/src/core/packing.cpp
+++ b/src/core/packing.cpp
@@ -40,11 +40,11 @@
     return out;
 }
 
-std::optional<std::string> unpack(const std::string& packed, std::size_t most_bytes)
+std::optional<std::string> unpack(const std::string& packed, std::size_t max_bytes)
 {
     pb::ArrayInputStream source{packed.data(), static_cast<int>(packed.size())};
     std::uint64_t bytes = 0;
-    if (!pb::CodedInputStream{&source}.ReadVarint64(&bytes) || bytes > most_bytes) {
+    if (!pb::CodedInputStream{&source}.ReadVarint64(&bytes) || bytes > max_bytes) {
         return {};
     }
     pb::GzipInputStream gzip{&source};
--- a/src/groups/group_controller.cpp
+++ b/src/groups/group_controller.cpp
@@ -22,7 +22,7 @@
     return report && report->assignment == assignment && report->phase == phase;
 }
 
-group_record blank_record(const pool_spec& pool, const group_id& id)
+group_record make_record(const pool_spec& pool, const group_id& id)
 {
     group_record out;
     out.id = id;
@@ -34,7 +34,7 @@
     return out;
 }
 
-group_proposal move_to(const group_record& it, group_state to, std::string why)
+group_proposal propose_state(const group_record& it, group_state to, std::string why)
 {
     return {it, to, {}, std::move(why)};
 }
@@ -60,7 +60,7 @@
     const context in{now, config, groups, watch, drains};
     control_step out;
     for (const auto& [id, it] : groups.records()) {
-        look_at_group(in, it, out);
+        step_group(in, it, out);
     }
     std::erase_if(entered_, [&](const auto& it) { return groups.find(it.first) == nullptr; });
     place_missing(in, out);
@@ -76,19 +76,19 @@
     return entry.since;
 }
 
-void group_controller::look_at_group(const context& in, const group_record& it, control_step& out)
+void group_controller::step_group(const context& in, const group_record& it, control_step& out)
 {
-    using look = void (group_controller::*)(const context&, const group_record&, control_step&);
+    using handler = void (group_controller::*)(const context&, const group_record&, control_step&);
     struct row {
         group_state state;
-        look function;
+        handler function;
     };
     static constexpr row table[] = {
-        {group_state::loading, &group_controller::look_at_loading},
-        {group_state::serving, &group_controller::look_at_serving},
-        {group_state::draining, &group_controller::look_at_draining},
-        {group_state::stopped, &group_controller::look_at_ended},
-        {group_state::lost, &group_controller::look_at_ended},
+        {group_state::loading, &group_controller::step_loading},
+        {group_state::serving, &group_controller::step_serving},
+        {group_state::draining, &group_controller::step_draining},
+        {group_state::stopped, &group_controller::step_ended},
+        {group_state::lost, &group_controller::step_ended},
     };
     (void)since(in.now, it); // starts the timer if the state is new
     for (const auto& [state, function] : table) {
@@ -98,7 +98,7 @@
     }
 }
 
-std::string group_controller::why_lost(const context& in, const group_record& it) const
+std::string group_controller::loss_reason(const context& in, const group_record& it) const
 {
     for (const auto& node : it.nodes) {
         const auto* runner = in.config.find_runner_on(node);
@@ -116,7 +116,7 @@
     return {};
 }
 
-std::string group_controller::why_unwanted(const context& in, const group_record& it) const
+std::string group_controller::removal_reason(const context& in, const group_record& it) const
 {
     const auto* pool = in.config.find_pool(it.pool);
     if (pool == nullptr) {
@@ -152,14 +152,14 @@
     return {};
 }
 
-void group_controller::look_at_loading(const context& in, const group_record& it, control_step& out)
+void group_controller::step_loading(const context& in, const group_record& it, control_step& out)
 {
-    if (auto why = why_lost(in, it); !why.empty()) {
-        out.proposals.push_back(move_to(it, group_state::lost, std::move(why)));
+    if (auto why = loss_reason(in, it); !why.empty()) {
+        out.proposals.push_back(propose_state(it, group_state::lost, std::move(why)));
         return;
     }
-    if (auto why = why_unwanted(in, it); !why.empty()) {
-        out.proposals.push_back(move_to(it, group_state::stopped, std::move(why)));
+    if (auto why = removal_reason(in, it); !why.empty()) {
+        out.proposals.push_back(propose_state(it, group_state::stopped, std::move(why)));
         return;
     }
     const bool ready = std::all_of(it.nodes.begin(), it.nodes.end(), [&](const node_id& node) {
@@ -167,49 +167,48 @@
                        runner_phase::ready);
     });
     if (ready) {
-        out.proposals.push_back(move_to(it, group_state::serving, "all nodes are ready"));
+        out.proposals.push_back(propose_state(it, group_state::serving, "all nodes are ready"));
         return;
     }
     order_members(in, it, true, out);
 }
 
-void group_controller::look_at_serving(const context& in, const group_record& it, control_step& out)
+void group_controller::step_serving(const context& in, const group_record& it, control_step& out)
 {
-    if (auto why = why_lost(in, it); !why.empty()) {
-        out.proposals.push_back(move_to(it, group_state::lost, std::move(why)));
+    if (auto why = loss_reason(in, it); !why.empty()) {
+        out.proposals.push_back(propose_state(it, group_state::lost, std::move(why)));
         return;
     }
-    if (auto why = why_unwanted(in, it); !why.empty()) {
-        out.proposals.push_back(move_to(it, group_state::draining, std::move(why)));
+    if (auto why = removal_reason(in, it); !why.empty()) {
+        out.proposals.push_back(propose_state(it, group_state::draining, std::move(why)));
     }
 }
 
-void group_controller::look_at_draining(const context& in, const group_record& it,
-                                        control_step& out)
+void group_controller::step_draining(const context& in, const group_record& it, control_step& out)
 {
-    if (auto why = why_lost(in, it); !why.empty()) {
-        out.proposals.push_back(move_to(it, group_state::lost, std::move(why)));
+    if (auto why = loss_reason(in, it); !why.empty()) {
+        out.proposals.push_back(propose_state(it, group_state::lost, std::move(why)));
         return;
     }
     // A daemon may send to the group until its grant expires. A report sent after that counts all
     // requests. `report_lag` covers the transit time of the report.
     const auto entered = since(in.now, it);
-    const auto spent = in.now - entered;
+    const auto elapsed = in.now - entered;
     const auto settled = entered + options_.grant_ttl + options_.drift + options_.report_lag;
     const auto& first = in.config.find_runner_on(it.nodes.front())->id;
     const auto report = in.watch.report_of(first);
-    const auto heard = in.watch.heard_at(first);
-    const bool empty = report && report->in_flight == 0 && heard && *heard >= settled;
-    if (empty || spent >= options_.drain_bound) {
-        out.proposals.push_back(move_to(it, group_state::stopped,
-                                        empty ? "drained" : "not drained within the drain bound"));
+    const auto received_at = in.watch.report_time(first);
+    const bool empty = report && report->in_flight == 0 && received_at && *received_at >= settled;
+    if (empty || elapsed >= options_.drain_bound) {
+        out.proposals.push_back(propose_state(
+            it, group_state::stopped, empty ? "drained" : "not drained within the drain bound"));
     }
 }
 
-void group_controller::look_at_ended(const context& in, const group_record& it, control_step& out)
+void group_controller::step_ended(const context& in, const group_record& it, control_step& out)
 {
     order_members(in, it, false, out);
-    const auto spent = in.now - since(in.now, it);
+    const auto elapsed = in.now - since(in.now, it);
     const auto old_grants = options_.grant_ttl + options_.drift;
     for (const auto& node : it.nodes) {
         const auto* runner = in.config.find_runner_on(node);
@@ -219,13 +218,13 @@
         const bool idle = reports(in.watch, runner->id, it.assignment, runner_phase::idle);
         // A runner that checks epochs refuses requests under an old grant. Any other must be idle
         // after the last grant expired, or wait until `in_flight_bound` has passed too.
-        const bool safe = runner->checks_epoch || (idle && spent >= old_grants) ||
-                          spent >= old_grants + options_.in_flight_bound;
+        const bool safe = runner->checks_epoch || (idle && elapsed >= old_grants) ||
+                          elapsed >= old_grants + options_.in_flight_bound;
         if (!safe) {
             return;
         }
     }
-    out.proposals.push_back(move_to(it, group_state::released, "its nodes are free"));
+    out.proposals.push_back(propose_state(it, group_state::released, "its nodes are free"));
 }
 
 void group_controller::order_members(const context& in, const group_record& it, bool load,
@@ -300,7 +299,7 @@
         const auto need = std::find_if(needs.begin(), needs.end(), [&](const placement_need& e) {
             return e.group == choice.group;
         });
-        auto record = blank_record(*need->pool, choice.group);
+        auto record = make_record(*need->pool, choice.group);
         record.nodes = std::move(choice.nodes);
         out.proposals.push_back(
             {std::move(record), group_state::loading, in.watch.highest_epoch(), "nodes are free"});
--- a/src/groups/placement.cpp
+++ b/src/groups/placement.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-int serving_groups(const group_table& groups, const pool_id& pool)
+int count_formed_groups(const group_table& groups, const pool_id& pool)
 {
     const auto& all = groups.records();
     return static_cast<int>(std::count_if(all.begin(), all.end(), [&](const auto& it) {
@@ -15,9 +15,9 @@
 }
 
 /// Returns the fraction of the pool's declared groups that load or serve.
-double filled(const placement_view& view, const pool_spec& pool)
+double formed_fraction(const placement_view& view, const pool_spec& pool)
 {
-    return static_cast<double>(serving_groups(view.groups, pool.id)) / pool.count;
+    return static_cast<double>(count_formed_groups(view.groups, pool.id)) / pool.count;
 }
 
 class best_fit final : public placement_strategy {
@@ -26,7 +26,7 @@
     {
         auto needs = view.needs;
         std::stable_sort(needs.begin(), needs.end(), [&](const auto& a, const auto& b) {
-            return filled(view, *a.pool) < filled(view, *b.pool);
+            return formed_fraction(view, *a.pool) < formed_fraction(view, *b.pool);
         });
         auto spare = view.spare;
         std::vector<placement_choice> out;
--- a/src/request/caller_admission.cpp
+++ b/src/request/caller_admission.cpp
@@ -24,9 +24,10 @@
     call.query.pools = rule->pools;
     call.query.prefix = facts.prefix;
     call.repeatable = !facts.not_repeatable;
-    call.lane = "model " + model.str();
+    call.queue_key = "model " + model.str();
     for (const auto& pool : call.query.pools) {
-        call.lane += " " + pool.str(); // requests with different routes must not block each other
+        // Requests with different routes must not block each other.
+        call.queue_key += " " + pool.str();
     }
     return {};
 }
@@ -55,7 +56,7 @@
     }
     call.query.service = best->id;
     call.repeatable = facts.safe_method && !facts.not_repeatable;
-    call.lane = "service " + best->id.str();
+    call.queue_key = "service " + best->id.str();
     return {};
 }
 
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -11,7 +11,7 @@
 std::string list_candidates(const route_choice& choice)
 {
     std::string out;
-    for (const auto& it : choice.looked_at) {
+    for (const auto& it : choice.candidates) {
         if (!out.empty()) {
             out += ' ';
         }
@@ -43,7 +43,7 @@
 {
     actions out;
     router_.set_targets(std::move(all));
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
@@ -83,7 +83,7 @@
         return out;
     }
     enqueue(now, it, out);
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
@@ -107,7 +107,7 @@
         return out;
     }
     enqueue(now, it, out);
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
@@ -115,15 +115,15 @@
 {
     const auto& call = it.call;
     it.at = open_request::phase::queued;
-    auto& lane = lanes_[call.lane];
+    auto& queue = queues_[call.queue_key];
     const waiting entry{it.facts.id, call.account, call.weight, call.priority, now, call.give_up};
-    if (lane.push(entry)) {
+    if (queue.push(entry)) {
         return;
     }
-    if (const auto victim = lane.shed(call.priority)) {
-        lane.remove(*victim, false);
+    if (const auto victim = queue.find_victim(call.priority)) {
+        queue.remove(*victim, false);
         give_up_queued(*victim, refusals::displaced(), out);
-        if (lane.push(entry)) {
+        if (queue.push(entry)) {
             return;
         }
     }
@@ -131,14 +131,14 @@
 }
 
 /// Starts queued requests, queue by queue, until the next one in each queue has no target.
-void dispatcher::pump(instant now, actions& out)
+void dispatcher::start_queued(instant now, actions& out)
 {
-    for (auto& [name, lane] : lanes_) {
-        while (const auto next = lane.next(now)) {
+    for (auto& [name, queue] : queues_) {
+        while (const auto next = queue.next(now)) {
             if (!try_start(now, open_.at(*next), out)) {
                 break;
             }
-            lane.remove(*next, true);
+            queue.remove(*next, true);
         }
     }
 }
@@ -219,7 +219,7 @@
         return out;
     }
     open_.end_attempt(attempt);
-    note_end(now, *it, how, out);
+    record_attempt_end(now, *it, how, out);
     const bool failed = how != attempt_end::complete && how != attempt_end::refused &&
                         !it->asked_for_pause; // a runner that asks for a pause works
     router_.on_end(now, it->upstream, failed);
@@ -229,17 +229,17 @@
         close(it->facts.id, claim_outcome::ran, out);
     }
     else {
-        after_failure(now, *it, how, out);
+        handle_failure(now, *it, how, out);
     }
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
-void dispatcher::after_failure(instant now, open_request& it, attempt_end how, actions& out)
+void dispatcher::handle_failure(instant now, open_request& it, attempt_end how, actions& out)
 {
     const auto failed = it.fail(how);
     const auto step = step_after(now, failed, options_.max_attempts);
-    if (step == failure_step::refuse || may_end_more_runners(it, how) || !budget_.take()) {
+    if (step == failure_step::refuse || retry_may_crash_runner(it, how) || !budget_.take()) {
         give_up(it.facts.id, refusal_after(failed), out);
         return;
     }
@@ -257,7 +257,8 @@
     }
 }
 
-void dispatcher::note_end(instant now, const open_request& it, attempt_end how, actions& out)
+void dispatcher::record_attempt_end(instant now, const open_request& it, attempt_end how,
+                                    actions& out)
 {
     if (!it.facts.fingerprint) {
         return;
@@ -275,7 +276,7 @@
     }
 }
 
-bool dispatcher::may_end_more_runners(const open_request& it, attempt_end how) const
+bool dispatcher::retry_may_crash_runner(const open_request& it, attempt_end how) const
 {
     return !proves_not_run(how) && it.facts.fingerprint &&
            !crashes_.may_retry(*it.facts.fingerprint);
@@ -302,27 +303,27 @@
         decision{request, it->call.account, "end", it->upstream.str(), "", "the caller went away"});
     close(request, it->sent || it->sending ? claim_outcome::may_have_run : claim_outcome::not_run,
           out);
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
 actions dispatcher::tick(instant now)
 {
     actions out;
-    for (auto& [name, lane] : lanes_) {
-        for (const auto& request : lane.expire(now)) {
+    for (auto& [name, queue] : queues_) {
+        for (const auto& request : queue.expire(now)) {
             const bool has_deadline = open_.at(request).facts.deadline.has_value();
             give_up_queued(request,
                            has_deadline ? refusals::deadline_passed_in_queue()
-                                        : refusals::nothing_free_in_time(),
+                                        : refusals::no_capacity_in_time(),
                            out);
         }
     }
-    for (const auto& request : open_.rested(now)) {
+    for (const auto& request : open_.due_for_retry(now)) {
         enqueue(now, open_.at(request), out);
     }
     sessions_.expire(now);
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
@@ -330,10 +331,10 @@
 {
     actions out;
     stopping_ = true;
-    for (const auto& request : open_.untouched()) {
+    for (const auto& request : open_.not_yet_run()) {
         give_up(request, refusals::stopping(), out);
     }
-    pump(now, out);
+    start_queued(now, out);
     return out;
 }
 
@@ -362,7 +363,7 @@
             end_claim{request, {it.call.account, it.facts.idempotency_key}, it.call.home, outcome});
     }
     if (it.at == open_request::phase::queued) {
-        lanes_[it.call.lane].remove(request, false);
+        queues_[it.call.queue_key].remove(request, false);
     }
     limits_.release(it.call.account);
     open_.close(request);
@@ -371,8 +372,8 @@
 std::size_t dispatcher::queued() const
 {
     std::size_t n = 0;
-    for (const auto& [name, lane] : lanes_) {
-        n += lane.size();
+    for (const auto& [name, queue] : queues_) {
+        n += queue.size();
     }
     return n;
 }
--- a/src/request/failure_rule.cpp
+++ b/src/request/failure_rule.cpp
@@ -26,7 +26,7 @@
     if (it.answered) {
         return refusals::runner_failed_while_answering();
     }
-    return it.may_have_run ? refusals::runner_failed() : refusals::no_runner_took_it();
+    return it.may_have_run ? refusals::runner_failed() : refusals::no_runner_accepted();
 }
 
 refusal refusal_in_queue(refusal why, const queued_request& it)
@@ -43,9 +43,9 @@
 duration retry_pause(int attempts, std::uint64_t salt)
 {
     constexpr milliseconds first_pause{100};
-    constexpr int most_doublings = 5; // 3.2 s at most
+    constexpr int max_doublings = 5; // a pause of at most 3.2 s
     constexpr std::int64_t parts = 1000;
-    const auto full = duration{first_pause} * (1 << std::min(attempts - 1, most_doublings));
+    const auto full = duration{first_pause} * (1 << std::min(attempts - 1, max_doublings));
     const auto part = static_cast<std::int64_t>((salt >> 8U) % parts);
     return full / 2 + full * part / (2 * parts);
 }
--- a/src/request/open_requests.cpp
+++ b/src/request/open_requests.cpp
@@ -67,7 +67,7 @@
     return it == requests_.end() ? nullptr : &it->second;
 }
 
-std::vector<request_id> open_requests::rested(instant now) const
+std::vector<request_id> open_requests::due_for_retry(instant now) const
 {
     std::vector<request_id> out;
     for (const auto& [id, it] : requests_) {
@@ -79,7 +79,7 @@
     return out;
 }
 
-std::vector<request_id> open_requests::untouched() const
+std::vector<request_id> open_requests::not_yet_run() const
 {
     std::vector<request_id> out;
     for (const auto& [id, it] : requests_) {
--- a/src/request/refusals.cpp
+++ b/src/request/refusals.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 // Retry hints for callers.
-constexpr milliseconds short_retry{1000}; ///< missing capacity may be available again by then
+constexpr milliseconds short_retry{1000}; ///< capacity or a stopped process may be available again
 constexpr milliseconds claim_retry{2000}; ///< the claim's holder or home must answer first
 
 /// A quarantine lasts until the daemons discard its record.
@@ -74,7 +74,7 @@
                 "a request with this key is running", claim_retry};
     case claim_verdict::already_ran:
         return {error_code::already_ran, run_state::ran, "the request with this key ran", {}};
-    case claim_verdict::unknown_end:
+    case claim_verdict::unknown_outcome:
         return {error_code::upstream_failed,
                 run_state::may_have_run,
                 "an earlier request with this key may have run",
@@ -107,7 +107,7 @@
         error_code::deadline_passed, run_state::not_run, "the deadline passed in the queue", {}};
 }
 
-refusal nothing_free_in_time()
+refusal no_capacity_in_time()
 {
     return {error_code::no_group, run_state::not_run, "nothing could serve it in time",
             short_retry};
@@ -128,7 +128,7 @@
     return {error_code::answer_cut, run_state::ran_cut, "the runner failed during the answer", {}};
 }
 
-refusal no_runner_took_it()
+refusal no_runner_accepted()
 {
     return {error_code::no_group, run_state::not_run, "no runner took the request", short_retry};
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -26,7 +26,7 @@
 
 /// Returns a value from 0 to 1e-6 that is always the same for the same salt and target. Without it,
 /// the first of several targets with equal scores would always be chosen.
-double spread(const target& it, std::uint64_t salt)
+double tie_break(const target& it, std::uint64_t salt)
 {
     constexpr std::uint64_t golden_ratio = 0x9E3779B97F4A7C15ULL; // 2^64 divided by it; mixes well
     constexpr unsigned kept_bits = 20;                            // highest bits of the product
@@ -55,7 +55,7 @@
 
 /// Returns the first reason why the target can't take the request, for the decision log; empty if
 /// it can.
-std::string router::why_out(instant now, const target& it, const route_query& query)
+std::string router::exclusion_reason(instant now, const target& it, const route_query& query)
 {
     if (query.tried.contains(it.upstream)) {
         return "tried";
@@ -89,11 +89,11 @@
 {
     const bool holds_session = it.group && query.session_at == it.group;
     const double by_load = -load(it);
-    const double by_spread = spread(it, query.salt);
+    const double by_tie_break = tie_break(it, query.salt);
     const double by_domain = it.failure_domain == home_ ? home_bonus : 0;
     const double by_session = holds_session ? session_bonus : 0;
     const double by_prefix = has_cached(it, query.prefix) ? prefix_bonus : 0;
-    return by_load + by_spread + by_domain + by_session + by_prefix;
+    return by_load + by_tie_break + by_domain + by_session + by_prefix;
 }
 
 route_choice router::choose(instant now, const route_query& query)
@@ -104,13 +104,13 @@
         if (!serves(it, query)) {
             continue;
         }
-        scored_target row{&it, score(it, query), why_out(now, it, query)};
+        scored_target row{&it, score(it, query), exclusion_reason(now, it, query)};
         out.any_alive = out.any_alive || row.note.empty() || is_busy(row.note);
         if (row.note.empty() && (out.chosen == nullptr || row.score > best)) {
             out.chosen = &it;
             best = row.score;
         }
-        out.looked_at.push_back(std::move(row));
+        out.candidates.push_back(std::move(row));
     }
     if (out.chosen == nullptr) {
         out.reason = out.any_alive ? "all full" : "none alive";
--- a/tests/request/caller_admission_test.cpp
+++ b/tests/request/caller_admission_test.cpp
@@ -166,10 +166,11 @@
 
 TEST(a_queue, is_shared_only_by_requests_with_the_same_routes)
 {
-    EXPECT_NE(admitted(ask_model("acme")).value().lane, admitted(ask_model("other")).value().lane);
+    EXPECT_NE(admitted(ask_model("acme")).value().queue_key,
+              admitted(ask_model("other")).value().queue_key);
     auto again = ask_model("acme");
     again.id = request_id{"r2"};
-    EXPECT_EQ(admitted(ask_model("acme")).value().lane, admitted(again).value().lane);
+    EXPECT_EQ(admitted(ask_model("acme")).value().queue_key, admitted(again).value().queue_key);
 }
 
 TEST(a_path, belongs_to_a_service_by_whole_segments)
--- a/tests/request/dispatcher_crash_test.cpp
+++ b/tests/request/dispatcher_crash_test.cpp
@@ -46,7 +46,8 @@
     return out;
 }
 
-/// Daemons that send requests to the runners of a service. The request `crashing` ends its runner.
+/// Daemons that send requests to the runners of a service. The request `crashing` ended_runners its
+/// runner.
 class daemons_with_a_crashing_request : public testing::Test {
 protected:
     daemons_with_a_crashing_request()
@@ -61,27 +62,27 @@
 
     /// Submits a request to a daemon and plays all its attempts. Returns true if it was refused as
     /// quarantined.
-    bool ask(std::size_t at, const request_fingerprint& fingerprint)
+    bool submit_to(std::size_t at, const request_fingerprint& fingerprint)
     {
         request_facts facts;
-        facts.id = request_id{fmt::format("r{}", ++asked)};
+        facts.id = request_id{fmt::format("r{}", ++submitted)};
         facts.key_digest = "key-of-acme";
         facts.path = "/shop/x";
         facts.safe_method = true;
         facts.fingerprint = fingerprint;
-        return follow(*daemons[at], daemons[at]->submit(now, facts), fingerprint == crashing);
+        return perform(*daemons[at], daemons[at]->submit(now, facts), fingerprint == crashing);
     }
 
-    bool follow(dispatcher& it, const actions& all, bool crashes)
+    bool perform(dispatcher& it, const actions& all, bool crashes)
     {
         bool quarantined = false;
         for (const auto& each : all) {
             if (const auto* started = std::get_if<start_attempt>(&each)) {
                 now += milliseconds{40};
-                ends += crashes ? 1 : 0;
+                ended_runners += crashes ? 1 : 0;
                 it.attempt_sending(started->attempt);
                 const auto how = crashes ? attempt_end::cut : attempt_end::complete;
-                follow(it, it.attempt_ended(now, started->attempt, how), crashes);
+                perform(it, it.attempt_ended(now, started->attempt, how), crashes);
             }
             if (const auto* check = std::get_if<check_runner>(&each)) {
                 it.runner_checked(now, check->runner, true);
@@ -94,7 +95,7 @@
     }
 
     /// Delivers the crashes that each daemon knows to all others.
-    void share()
+    void exchange_crashes()
     {
         for (const auto& from : daemons) {
             for (const auto& to : daemons) {
@@ -107,42 +108,42 @@
 
     instant now{seconds{100}};
     std::vector<std::unique_ptr<dispatcher>> daemons;
-    int asked = 0;
-    int ends = 0; ///< number of runners that ended under the request `crashing`
+    int submitted = 0;
+    int ended_runners = 0; ///< number of runners that ended under the request `crashing`
 };
 
-TEST_F(daemons_with_a_crashing_request, add_up_what_each_of_them_has_seen)
+TEST_F(daemons_with_a_crashing_request, count_the_crashes_that_the_others_observed)
 {
     bool refused = false;
     for (std::size_t n = 0; n < 40; ++n) {
-        refused = ask(n % daemon_count, crashing);
+        refused = submit_to(n % daemon_count, crashing);
         now += pause;
-        share();
+        exchange_crashes();
     }
     EXPECT_TRUE(refused);
-    EXPECT_EQ(ends, crashes_to_quarantine);
-    EXPECT_FALSE(ask(0, {2, 2})) << "another request";
+    EXPECT_EQ(ended_runners, crashes_to_quarantine);
+    EXPECT_FALSE(submit_to(0, {2, 2})) << "another request";
 }
 
-TEST_F(daemons_with_a_crashing_request, tell_one_that_has_lost_what_it_saw)
+TEST_F(daemons_with_a_crashing_request, restore_the_crashes_of_one_that_restarted)
 {
     for (std::size_t n = 0; n < 5; ++n) {
-        ask(0, crashing);
+        submit_to(0, crashing);
         now += pause;
     }
-    share();
+    exchange_crashes();
     daemons[0] = std::make_unique<dispatcher>(failure_domain_id{"home"}, dispatch_options{});
     daemons[0]->set_configuration(make_site());
     (void)daemons[0]->set_targets(now, make_targets());
-    share();
-    EXPECT_TRUE(ask(0, crashing));
-    EXPECT_EQ(ends, crashes_to_quarantine);
+    exchange_crashes();
+    EXPECT_TRUE(submit_to(0, crashing));
+    EXPECT_EQ(ended_runners, crashes_to_quarantine);
 }
 
-TEST_F(daemons_with_a_crashing_request, stop_a_try_after_its_second_runner)
+TEST_F(daemons_with_a_crashing_request, stop_retrying_a_request_after_its_second_runner)
 {
-    ask(3, crashing);
-    EXPECT_EQ(ends, crashes_to_stop_retries);
+    submit_to(3, crashing);
+    EXPECT_EQ(ended_runners, crashes_to_stop_retries);
 }
 
 } // namespace
--- a/tests/request/dispatcher_scenario_test.cpp
+++ b/tests/request/dispatcher_scenario_test.cpp
@@ -18,24 +18,24 @@
 }
 
 /// A dispatcher with the configuration and the targets that the scenario sets up.
-class dispatcher_play {
+class scenario_driver {
 public:
     lines play(const scenario_step& step)
     {
         struct row {
             const char* verb;
-            lines (dispatcher_play::*function)(const scenario_step&);
+            lines (scenario_driver::*function)(const scenario_step&);
         };
         static constexpr row table[] = {
-            {"account", &dispatcher_play::account}, {"route", &dispatcher_play::route},
-            {"service", &dispatcher_play::service}, {"targets", &dispatcher_play::targets},
-            {"at", &dispatcher_play::at},           {"submit", &dispatcher_play::submit},
-            {"claim", &dispatcher_play::claim},     {"sending", &dispatcher_play::sending},
-            {"head", &dispatcher_play::head},       {"event", &dispatcher_play::event},
-            {"end", &dispatcher_play::end},         {"gone", &dispatcher_play::gone},
-            {"tick", &dispatcher_play::tick},       {"stop", &dispatcher_play::stop},
-            {"show", &dispatcher_play::show},       {"names", &dispatcher_play::names},
-            {"pauses", &dispatcher_play::pauses},   {"leaves", &dispatcher_play::leaves},
+            {"account", &scenario_driver::account}, {"route", &scenario_driver::route},
+            {"service", &scenario_driver::service}, {"targets", &scenario_driver::targets},
+            {"at", &scenario_driver::at},           {"submit", &scenario_driver::submit},
+            {"claim", &scenario_driver::claim},     {"sending", &scenario_driver::sending},
+            {"head", &scenario_driver::head},       {"event", &scenario_driver::event},
+            {"end", &scenario_driver::end},         {"gone", &scenario_driver::gone},
+            {"tick", &scenario_driver::tick},       {"stop", &scenario_driver::stop},
+            {"show", &scenario_driver::show},       {"names", &scenario_driver::names},
+            {"pauses", &scenario_driver::pauses},   {"leaves", &scenario_driver::leaves},
         };
         for (const auto& it : table) {
             if (step.verb() == it.verb) {
@@ -145,7 +145,7 @@
             {"granted", claim_verdict::granted},
             {"running", claim_verdict::running},
             {"ran", claim_verdict::already_ran},
-            {"unknown", claim_verdict::unknown_end},
+            {"unknown", claim_verdict::unknown_outcome},
             {"unavailable", claim_verdict::unavailable}};
         return show(it_.claim_answered(now_, request_id{in.word(0)}, verdicts.at(in.word(1))));
     }
@@ -284,7 +284,7 @@
 
 TEST_P(dispatcher_scenario, prints_what_its_file_says)
 {
-    dispatcher_play it;
+    scenario_driver it;
     testing_support::check_scenario(std::string{SOURCE_DIR} + "/tests/request/scenarios/" +
                                         GetParam() + ".scenario",
                                     [&](const scenario_step& step) { return it.play(step); });
--- a/tests/request/failure_rule_test.cpp
+++ b/tests/request/failure_rule_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(rows, 128);
 }
 
-TEST(a_request_given_up_after_a_failure, is_told_how_far_it_came)
+TEST(a_request_given_up_after_a_failure, gets_an_error_that_says_whether_it_ran)
 {
     auto it = plain_failure();
     it.may_have_run = false;
@@ -136,14 +136,14 @@
     EXPECT_EQ(error.ran, run_state::ran_cut);
 }
 
-TEST(a_request_given_up_in_the_queue, is_told_how_far_it_came)
+TEST(a_request_given_up_in_the_queue, gets_an_error_that_says_whether_it_ran)
 {
-    EXPECT_EQ(refusals::nothing_free_in_time().code, error_code::no_group);
-    EXPECT_EQ(refusals::nothing_free_in_time().retry_after, milliseconds{1000});
+    EXPECT_EQ(refusals::no_capacity_in_time().code, error_code::no_group);
+    EXPECT_EQ(refusals::no_capacity_in_time().retry_after, milliseconds{1000});
     EXPECT_EQ(refusals::deadline_passed_in_queue().code, error_code::deadline_passed);
     EXPECT_EQ(refusals::queue_full().code, error_code::queue_full);
     EXPECT_EQ(refusals::displaced().code, error_code::queue_full);
-    for (const auto& why : {refusals::nothing_free_in_time(), refusals::deadline_passed_in_queue(),
+    for (const auto& why : {refusals::no_capacity_in_time(), refusals::deadline_passed_in_queue(),
                             refusals::queue_full(), refusals::displaced()}) {
         SCOPED_TRACE(why.text);
         queued_request it;
@@ -343,7 +343,7 @@
     EXPECT_EQ(error->ran, run_state::may_have_run);
 }
 
-TEST_F(one_slot, tells_a_request_that_waited_too_long_whose_limit_it_was)
+TEST_F(one_slot, tells_whether_a_request_exceeded_its_own_deadline_or_the_longest_wait)
 {
     begin_attempt("first");
     request_facts facts;
