--- a/tests/request/dispatcher_scenario_test.cpp
+++ b/tests/request/dispatcher_scenario_test.cpp
@@ -1,4 +1,4 @@
-// Plays tests/request/scenarios/*.scenario through the dispatcher, message by message.
+// Runs tests/request/scenarios/*.scenario against the dispatcher, step by step.
 
 #include "cedarpoint/request/dispatcher.h"
 #include "support/scenario_file.h"
@@ -17,25 +17,25 @@
     return text.empty() ? fallback : std::stoi(text);
 }
 
-/// The dispatcher with a site that the scenario sets up.
-class dispatcher_play {
+/// A dispatcher with the configuration and the targets that the scenario sets up.
+class scenario_driver {
 public:
     lines play(const scenario_step& step)
     {
         struct row {
             const char* verb;
-            lines (dispatcher_play::*function)(const scenario_step&);
+            lines (scenario_driver::*function)(const scenario_step&);
         };
         static constexpr row table[] = {
-            {"account", &dispatcher_play::account}, {"route", &dispatcher_play::route},
-            {"service", &dispatcher_play::service}, {"targets", &dispatcher_play::targets},
-            {"at", &dispatcher_play::at},           {"submit", &dispatcher_play::submit},
-            {"claim", &dispatcher_play::claim},     {"sending", &dispatcher_play::sending},
-            {"head", &dispatcher_play::head},       {"event", &dispatcher_play::event},
-            {"end", &dispatcher_play::end},         {"gone", &dispatcher_play::gone},
-            {"tick", &dispatcher_play::tick},       {"stop", &dispatcher_play::stop},
-            {"show", &dispatcher_play::show},       {"names", &dispatcher_play::names},
-            {"pauses", &dispatcher_play::pauses},   {"leaves", &dispatcher_play::leaves},
+            {"account", &scenario_driver::account}, {"route", &scenario_driver::route},
+            {"service", &scenario_driver::service}, {"targets", &scenario_driver::targets},
+            {"at", &scenario_driver::at},           {"submit", &scenario_driver::submit},
+            {"claim", &scenario_driver::claim},     {"sending", &scenario_driver::sending},
+            {"head", &scenario_driver::head},       {"event", &scenario_driver::event},
+            {"end", &scenario_driver::end},         {"gone", &scenario_driver::gone},
+            {"tick", &scenario_driver::tick},       {"stop", &scenario_driver::stop},
+            {"show", &scenario_driver::show},       {"names", &scenario_driver::names},
+            {"pauses", &scenario_driver::pauses},   {"leaves", &scenario_driver::leaves},
         };
         for (const auto& it : table) {
             if (step.verb() == it.verb) {
@@ -145,7 +145,7 @@
             {"granted", claim_verdict::granted},
             {"running", claim_verdict::running},
             {"ran", claim_verdict::already_ran},
-            {"unknown", claim_verdict::unknown_end},
+            {"unknown", claim_verdict::unknown_outcome},
             {"unavailable", claim_verdict::unavailable}};
         return show(it_.claim_answered(now_, request_id{in.word(0)}, verdicts.at(in.word(1))));
     }
@@ -162,7 +162,7 @@
         return {};
     }
 
-    /// names ATTEMPT VALUE ...: the head of its answer, with these values of a rate limit.
+    /// names ATTEMPT VALUE ...: the response head of the attempt has these rate-limit values.
     lines names(const scenario_step& in)
     {
         std::vector<std::string> values;
@@ -175,7 +175,7 @@
         return {news.rate_limit ? "the rate limit has changed" : "no news"};
     }
 
-    /// pauses ATTEMPT VALUE: the head of its answer, a 503 with this Retry-After.
+    /// pauses ATTEMPT VALUE: the response head of the attempt is a 503 with this Retry-After.
     lines pauses(const scenario_step& in)
     {
         const auto value = in.word(1);
@@ -184,7 +184,7 @@
         return {};
     }
 
-    /// leaves ATTEMPT: the head of its answer says that the runner leaves.
+    /// leaves ATTEMPT: the response head of the attempt announces that the runner leaves.
     lines leaves(const scenario_step& in)
     {
         const auto news =
@@ -284,7 +284,7 @@
 
 TEST_P(dispatcher_scenario, prints_what_its_file_says)
 {
-    dispatcher_play it;
+    scenario_driver it;
     testing_support::check_scenario(std::string{SOURCE_DIR} + "/tests/request/scenarios/" +
                                         GetParam() + ".scenario",
                                     [&](const scenario_step& step) { return it.play(step); });
