--- a/src/control_daemon/control_api.cpp
+++ b/src/control_daemon/control_api.cpp
@@ -193,7 +193,8 @@
     const auto latest = record == nullptr ? birth{} : record->latest.born;
     const auto life = told == birth{} ? latest : told;
     const bool is_known = gone ? state_.is_gone(runner) : state_.is_leaving(runner);
-    if (is_known || life < latest) { // an earlier life's good-bye says nothing of the latest
+    // A departure from before the runner's latest start no longer applies.
+    if (is_known || life < latest) {
         answer(reply, http_status::ok, "{}");
         return;
     }
--- a/src/control_daemon/control_api.h
+++ b/src/control_daemon/control_api.h
@@ -16,21 +16,22 @@
 
 namespace cedarpoint {
 
-/// The calls of operators and runners to a control daemon. Only the leader answers from its state;
-/// another daemon sends the caller there. What is acknowledged has been committed by a quorum.
+/// Handles the HTTP calls of operators and runners to a control daemon. Only the leader answers
+/// from its state; other daemons redirect the caller to it. A change is acknowledged only after a
+/// quorum has committed it.
 class control_api {
 public:
     using reply_ptr = std::shared_ptr<http_reply>;
 
-    /// What the api asks of its daemon.
+    /// The functions of the daemon that the API uses.
     struct hooks {
         std::function<bool()> leads;
         std::function<bool()> is_ready;
-        /// Where another daemon that leads takes calls; empty if none is known.
+        /// Returns the API address of the leader; empty if none is known or this daemon leads.
         std::function<std::optional<endpoint>()> leader;
-        /// As `replicated_log::propose`.
+        /// See `replicated_log::propose`.
         std::function<bool(std::string, replicated_log::answer_handler)> propose;
-        /// What was committed has to reach the entry daemons.
+        /// Called after a commit, to push the new view to the entry daemons.
         std::function<void()> on_committed;
     };
 
@@ -40,7 +41,8 @@
     void on_call(const http_request& request, const reply_ptr& reply);
 
 private:
-    /// True if the call was answered because this daemon does not lead.
+    /// Returns true if the call was answered with a redirect or an error because this daemon does
+    /// not lead.
     bool redirect(const http_request& request, const reply_ptr& reply);
     void dispatch(const parsed_call& parsed, const http_request& request, const reply_ptr& reply);
     void put_configuration(const http_request& request, const reply_ptr& reply);
@@ -51,7 +53,8 @@
                         const reply_ptr& reply);
     void list_quarantine(const reply_ptr& reply);
     void lift_quarantine(const request_fingerprint& request, const reply_ptr& reply);
-    /// `gone`: the runner ends; otherwise it drains.
+    /// Proposes a runner's departure to the log. `gone`: the runner terminates; otherwise it
+    /// drains. `told`: the runner's start time as stated in the call; 0 if it states none.
     void take_departure(const runner_id& runner, bool gone, birth told, const reply_ptr& reply);
 
     const platform_adapter& platform_;
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -10,11 +10,11 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two refreshes of the view while nothing pushes it sooner.
+/// Time between two refreshes of the view. A commit refreshes it at once.
 constexpr duration refresh_interval = milliseconds{40};
-/// Time between two lines that sum up the plan, and two updates of the metrics on it.
+/// Time between two summaries of the plan in the log and in the metrics.
 constexpr duration summary_interval = seconds{1};
-/// The process's exit code once its state can't be used any more: docs/OPERATIONS.md.
+/// Exit code after a failure of the replicated log's storage; see docs/OPERATIONS.md.
 constexpr int disk_failed_exit = 5;
 
 } // namespace
@@ -41,14 +41,15 @@
     if (!address || leader == id_.str()) {
         return {};
     }
-    return endpoint{address->ip, own_.control->port}; // the port is the same on all of them
+    return endpoint{address->ip, own_.control->port}; // all control daemons use the same port
 }
 
 void control_daemon::tick()
 {
     mesh_.drain();
     log_->tick(steady_now());
-    const auto now = steady_now(); // the log may have waited for its disk, longer than a lease
+    // Read the clock again: a slow disk may have blocked the log for longer than a lease.
+    const auto now = steady_now();
     disk_.note(log_->refused_write());
     metrics_.set_disk_refuses(disk_.refuses());
     if (!can_go_on()) {
@@ -160,7 +161,7 @@
     const bool leading = leads(now);
     std::map<plan_phase, double> groups;
     for (const auto phase : plan_phases) {
-        groups[phase] = 0; // also once this daemon leads no more
+        groups[phase] = 0; // reported for phases without groups, and for all while not leading
     }
     if (leading) {
         for (const auto& [name, group] : leader_.planner().groups()) {
@@ -190,7 +191,7 @@
 {
     const auto now = steady_now();
     if (log_ == nullptr) {
-        return; // still starting
+        return; // start-up has not finished
     }
     if (in.has_join()) {
         membership_->on_join(now, leads(now), in);
@@ -244,7 +245,7 @@
 
 void control_daemon::on_probe_failed(const runner_id& runner, probe_failure how)
 {
-    // The event is called as it was before probes had their name: operators search for it.
+    // The event keeps the name that it had before probes were called so: operators search for it.
     log_line("look_failed").with("runner", runner.str()).with("how", name_of(how)).write();
     if (how == probe_failure::other_runner) {
         leader_.on_other_runner(runner);
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -23,12 +23,12 @@
 
 namespace cedarpoint {
 
-/// A control daemon: the sockets, files and timers round a voter of the replicated log and, while
-/// it leads, round `fleet_leader`. Passes messages on, carries out the planner's steps, and pushes
-/// the view to entry daemons.
+/// A control daemon: owns the sockets, files and timers that drive a member of the replicated log
+/// and, while it leads, `fleet_leader`. Dispatches messages, executes the planner's steps, and
+/// pushes the view to entry daemons.
 class control_daemon {
 public:
-    /// Empty with `why` if a listener or the data folder can't be had.
+    /// Returns null and sets `why` if a listener or the data folder can't be opened.
     static std::unique_ptr<control_daemon> start(fleet_settings own, reason& why);
     ~control_daemon();
     control_daemon(const control_daemon&) = delete;
@@ -49,15 +49,14 @@
     [[nodiscard]] replicated_log::options make_log_options() const;
 
     void tick();
-    /// Tells the log and the metrics when the disk begins or ceases to refuse writes.
-    /// False once the replicated log can't go on: the process ends.
+    /// Returns false once the replicated log has failed; logs the failure and stops the process.
     bool can_go_on();
     void note_leader();
     void lead(instant now);
     void carry_out(instant now, const planner_step& step);
     void drop_lost_followers(instant now);
     void push_view(instant now);
-    /// Logs what there is and what is wanted, and sets the metrics on it.
+    /// Logs a summary of the plan and updates the metrics on it.
     void summarize(instant now);
 
     void receive(const wire::envelope& in);
@@ -66,12 +65,12 @@
     void on_probe_failed(const runner_id& runner, probe_failure how);
     bool send(const daemon_id& to, wire::envelope out);
 
-    /// True while this daemon holds the leader's lease.
+    /// Returns true while this daemon holds the leader's lease.
     [[nodiscard]] bool leads(instant now) const;
-    /// True once it has also begun the term as the fleet's leader.
+    /// Returns true if, in addition, `fleet_leader` has begun the current term.
     [[nodiscard]] bool has_begun_to_lead(instant now) const;
     [[nodiscard]] bool is_ready(instant now) const;
-    /// Where the leader takes calls; empty if none is known, or this daemon is it.
+    /// Returns the API address of the leader; empty if none is known or this daemon leads.
     [[nodiscard]] std::optional<endpoint> leader_api() const;
 
     fleet_settings own_;
@@ -90,7 +89,7 @@
     std::unique_ptr<http_listener> api_listener_;
     std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
-    std::uint64_t led_term_ = 0; ///< the term that this process leads or led last
+    std::uint64_t led_term_ = 0; ///< the latest term in which this process led; 0: none
     disk_watch disk_;
     election_log elections_;
     daemon_id known_leader_;
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -1,4 +1,4 @@
-// How a control daemon is put together, starts and stops.
+// Construction, start and stop of a control daemon.
 
 #include "control_daemon/control_daemon.h"
 
@@ -15,17 +15,16 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two ticks.
 constexpr int tick_ms = 20;
-/// A leader is elected 0.5 to 1 s after the old one fell silent.
+/// A new leader is elected 0.5 to 1 s after the last message of the previous one.
 constexpr duration election_timeout = milliseconds{500};
-/// Between two heartbeats of the log's leader; of the same round.
+/// Time between two heartbeats of the log's leader.
 constexpr duration raft_heartbeat = milliseconds{100};
-/// Connections of operators and runners at a time.
+/// Simultaneous connections of operators and runners.
 constexpr std::size_t most_api_connections = 1500;
-/// Of a declarative document; the largest seen has 260 KB with 900 routes.
+/// Bytes of a declarative configuration document. The largest known one has 260 KB with 900 routes.
 constexpr std::size_t most_api_body = 16 << 20;
-/// The log's folder, and its name in messages.
+/// The name of the log in messages, and of its folder.
 constexpr const char* log_name = "fleet";
 
 caller_limits api_limits()
@@ -40,12 +39,12 @@
 {
     planner_options out;
     out.heartbeat = own.heartbeat;
-    // Every runner has sent a heartbeat by then, and half an interval is left for its way.
+    // By then every runner has sent a heartbeat; half an interval is left for its transmission.
     out.settle = own.heartbeat * 3 / 2;
     return out;
 }
 
-/// The ids of the daemons at the seeds: all daemons use the same port for each other.
+/// Returns the ids of the daemons at the seeds. All daemons use the same port for each other.
 std::vector<daemon_id> seed_daemons(const fleet_settings& own)
 {
     std::vector<daemon_id> out;
@@ -81,8 +80,8 @@
     return out;
 }
 
-/// One line for each request under which a second runner ended, and each one after that: those with
-/// one are many, and entry daemons log them.
+/// Logs a request when a second runner has crashed while running it, and again for each further
+/// runner. Requests with a single crash are many, and entry daemons log them.
 void log_crashes(instant now, const request_fingerprint& request, const crash_history& known)
 {
     if (known.crashes.size() >= std::size_t{crashes_to_stop_retries}) {
--- a/src/control_daemon/control_metrics.cpp
+++ b/src/control_daemon/control_metrics.cpp
@@ -3,7 +3,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Bounds from a sync on a fast disk to an election.
+/// Bounds in seconds, from a sync on a fast disk to the time of an election.
 const std::vector<double> commit_bounds{0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4};
 
 } // namespace
--- a/src/control_daemon/election_log.cpp
+++ b/src/control_daemon/election_log.cpp
@@ -16,8 +16,8 @@
     const auto& contact = in.contact;
     const auto heard =
         contact.heard ? fmt::format("{} ms ago", to_ms(now - *contact.heard)) : "never";
-    return fmt::format("{}{}: heard {}, sent {}, without connection {}, votes asked {} granted {} "
-                       "refused {}, asked by it {} latest {}",
+    return fmt::format("{}{}: last message {}, sent {}, dropped without connection {}, votes "
+                       "requested {} granted {} refused {}, requested by peer {} latest reply {}",
                        in.member.str(), in.voter ? "" : " (learner)", heard, sent, dropped,
                        contact.votes_asked, contact.votes_granted, contact.votes_refused,
                        contact.votes_taken, name_of(contact.latest_answer));
--- a/src/control_daemon/election_log.h
+++ b/src/control_daemon/election_log.h
@@ -8,14 +8,17 @@
 
 namespace cedarpoint {
 
-/// Writes a line a second while a control daemon knows no leader: how its elections stand, what
-/// each peer was asked and has answered, and whether there is a connection to it.
+/// Writes a log line every second while a control daemon knows no leader: the state of its
+/// election, and for each peer the votes requested, the replies, and whether there is a connection
+/// to it.
 class election_log {
 public:
-    /// A message of the log was handed to the mesh; `sent`: there was a connection to take it.
+    /// Counts a message of the log to a peer. `sent`: false if there was no connection and the
+    /// message was dropped.
     void on_message(const member_id& to, bool sent);
+    /// Writes a line if one is due. Call while no leader is known.
     void note(instant now, const election_status& status);
-    /// A leader is known.
+    /// Call while a leader is known.
     void on_leader() { leaderless_since_.reset(); }
 
 private:
@@ -26,7 +29,7 @@
 
     std::optional<instant> leaderless_since_;
     instant next_line_;
-    std::map<member_id, traffic> traffic_; ///< since the latest line
+    std::map<member_id, traffic> traffic_; ///< messages since the latest line
 };
 
 } // namespace cedarpoint
--- a/src/control_daemon/log_membership.cpp
+++ b/src/control_daemon/log_membership.cpp
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two looks at the members.
+/// Time between two checks of the membership.
 constexpr duration check_interval = milliseconds{500};
 
 } // namespace
@@ -41,7 +41,7 @@
         return;
     case membership_change::kind_t::demote:
         change(now, next.member, true, false);
-        // A learner takes its place at once: until then the log bears one loss less.
+        // Check again at once to promote a learner: until then the log tolerates one loss less.
         next_check_ = now;
         return;
     case membership_change::kind_t::remove:
@@ -52,7 +52,7 @@
 
 void log_membership::change(instant now, const member_id& member, bool present, bool voter)
 {
-    // Refused while an earlier change is not committed yet; the next look tries again.
+    // Fails while an earlier change is not committed; the next check tries again.
     if (log_.change_membership(now, member, present, voter)) {
         log_line("member")
             .with("member", member.str())
@@ -64,7 +64,7 @@
 
 void log_membership::ask_to_join()
 {
-    // A member that was removed while it was away doesn't know that, so it asks as well.
+    // Members ask as well: one that was removed while it was down does not know that.
     if (!log_.raft().leader().empty()) {
         return;
     }
@@ -91,8 +91,8 @@
 
 void log_membership::pass_on(const wire::envelope& in)
 {
-    // The seeds that a daemon asks need not lead. Passed on once, or two members that take each
-    // other for the leader would pass it on for ever.
+    // A daemon asks the seeds, which need not lead. A forwarded request is not forwarded again:
+    // two members that each take the other for the leader would forward it endlessly.
     const daemon_id leader{log_.raft().leader().str()};
     if (leader.empty() || in.from() != in.join().member()) {
         return;
--- a/src/control_daemon/log_membership.h
+++ b/src/control_daemon/log_membership.h
@@ -14,13 +14,13 @@
 
 namespace cedarpoint {
 
-/// This control daemon's part in the membership of the log: as the leader it carries out what
-/// `membership_policy` decides; as one that hears no leader it asks to join.
+/// Manages this control daemon's part in the membership of the log. The leader applies the changes
+/// that `membership_policy` decides; a daemon that knows no leader asks the seeds to join.
 class log_membership {
 public:
     struct options {
         daemon_id self;
-        std::vector<daemon_id> seeds; ///< asked for the leader
+        std::vector<daemon_id> seeds; ///< control daemons that are asked to join
         std::string log_name;
         std::size_t wanted_voters = 3;
     };
@@ -28,9 +28,9 @@
 
     log_membership(options options, replicated_log& log, sender send);
 
-    /// `leads`: this daemon holds the leader's lease.
+    /// Applies the next change, or asks to join. `leads`: this daemon holds the leader's lease.
     void tick(instant now, bool leads);
-    /// A daemon asks to join, or a member passes that on.
+    /// Handles a request to join, sent by the daemon itself or forwarded by another member.
     void on_join(instant now, bool leads, const wire::envelope& in);
 
 private:
--- a/src/control_daemon/provisional_views.h
+++ b/src/control_daemon/provisional_views.h
@@ -8,16 +8,17 @@
 
 namespace cedarpoint {
 
-/// Makes provisional views (see `build_provisional_view`): while no leader is known, an entry
-/// daemon that has no view at all gets what this daemon's log holds for certain.
+/// Builds provisional views (see `build_provisional_view`): while no leader is known, an entry
+/// daemon without a leader's view gets one from the committed entries of this daemon's log.
 class provisional_views {
 public:
     provisional_views(const platform_adapter& platform, const fleet_state& state);
 
-    /// True if a follower that reports `in` has use for a provisional view as of `index`.
+    /// Returns true if a provisional view as of `index` is newer than the one of the follower that
+    /// sent `in`, and that follower has no leader's view.
     [[nodiscard]] bool is_useful(const wire::fleet_follow& in, std::uint64_t index) const;
-    /// The view as of the log's entry `index`, the last one applied to the state. Without items if
-    /// the configuration can't be read.
+    /// Returns the view as of `index`, the last log entry that was applied to the state. It has no
+    /// items if the configuration can't be parsed.
     [[nodiscard]] const wire::fleet_update& at(std::uint64_t index);
 
 private:
@@ -26,7 +27,7 @@
     const platform_adapter& platform_;
     const fleet_state& state_;
     wire::fleet_update latest_;
-    std::uint64_t index_ = 0; ///< of `latest_`
+    std::uint64_t index_ = 0; ///< log index of `latest_`
 };
 
 } // namespace cedarpoint
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -12,11 +12,11 @@
 namespace cedarpoint {
 namespace {
 
-/// How long an order may take to be answered.
+/// Time limit for an order, from the connection attempt to the end of the answer.
 constexpr milliseconds order_timeout{700};
-/// How long a probe may take, and a connection for either.
+/// Time limit for a probe, and for the connection attempt of an order or a probe.
 constexpr milliseconds probe_timeout{300};
-/// Longest idle time of a kept connection that is used again.
+/// Longest idle time of a pooled connection that is reused.
 constexpr milliseconds longest_idle{2500};
 
 bool is_order(const planner_step& step)
@@ -24,7 +24,7 @@
     return step.kind == planner_step::kind_t::order;
 }
 
-/// What a runner's answer to an order says.
+/// Maps the HTTP status of a runner's answer to the result of the order.
 order_result result_of(int status)
 {
     switch (status) {
@@ -53,9 +53,9 @@
 /// One order or probe that waits for its answer.
 struct runner_orders::call {
     planner_step step;
-    birth life; ///< of the runner, as known when the call began
+    birth life; ///< the runner's start time, as known when the call began
     runner_connection* connection = nullptr;
-    int status = 0; ///< 0 before the head has come
+    int status = 0; ///< 0 before the head has arrived
     QTimer timer;
 };
 
@@ -131,7 +131,7 @@
             note_signals(*open, head);
         }
     };
-    handlers.on_body = [](const std::string& /*bytes*/) {}; // the status says it all
+    handlers.on_body = [](const std::string& /*bytes*/) {}; // only the status is used
     handlers.on_end = [this, weak](exchange_end how, const reason& /*why*/) {
         if (const auto open = weak.lock()) {
             on_end(open, how);
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -14,28 +14,29 @@
 
 namespace cedarpoint {
 
-/// Why a probe told nothing of its runner.
+/// Why a probe failed to get a runner's state.
 enum class probe_failure {
     unanswered,
     refused,     ///< the address answered with a reset
     other_runner ///< another runner has the address
 };
 
-/// A name for the log.
+/// Returns the name used in the log.
 std::string_view name_of(probe_failure how);
 
-/// Sends the planner's orders and probes to runners and reports how each ended.
+/// Sends the planner's orders and probes to runners and reports their results.
 class runner_orders {
 public:
     struct hooks {
-        /// Asked when the connection is there: the right to give orders may have ended meanwhile.
+        /// Called once the connection is open, since this daemon's lease may have ended meanwhile.
         std::function<bool()> may_send;
         std::function<void(const group_order&, order_result)> on_order_end;
         std::function<void(const runner_id&)> on_probe_answered;
         std::function<void(const runner_id&, probe_failure)> on_probe_failed;
-        /// The life that a runner is known to be in.
+        /// Returns the latest known start time of a runner; 0 if unknown.
         std::function<birth(const runner_id&)> life_of;
-        /// An answer says that the runner, asked in this life, leaves.
+        /// Called when an answer says that the runner leaves. `birth` is the runner's start time as
+        /// known when the call began.
         std::function<void(const runner_id&, birth)> on_leaving;
     };
 
@@ -44,9 +45,10 @@
     runner_orders(const runner_orders&) = delete;
     runner_orders& operator=(const runner_orders&) = delete;
 
-    /// Drops the step while the runner has asked this daemon for a pause: the planner repeats it.
+    /// Sends an order or a probe. Drops the step while the runner has asked this daemon for a
+    /// pause; the planner repeats it.
     void carry_out(const planner_step& step);
-    /// Ends what is under way without a report: this process may no longer give orders.
+    /// Cancels all calls without a report, since this process may no longer give orders.
     void cancel_all();
 
 private:
@@ -56,9 +58,9 @@
     [[nodiscard]] std::string make_request(const planner_step& step) const;
     void start(const call_ptr& each);
     void start_timer(const call_ptr& each);
-    /// Drops the call unless it may still be made.
+    /// Drops the call unless it may still be sent.
     void on_connected(const call_ptr& each);
-    /// Takes what the answer's head says of the runner itself.
+    /// Records the signals in the answer's head: pause and leave.
     void note_signals(const call& each, const http_head& head);
     void on_end(const call_ptr& each, exchange_end how);
     void report_order(const call& each, exchange_end how);
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -17,7 +17,7 @@
 
 namespace cedarpoint {
 
-/// What the requests of one entry daemon share.
+/// State shared by all requests of one entry daemon.
 struct entry_context {
     const platform_adapter& platform;
     std::shared_ptr<const route_table> routes; ///< null before the first configuration
@@ -25,12 +25,13 @@
     windowed_retry_budget budget;
     runner_pool pool;
     entry_metrics metrics;
-    std::size_t entry_daemons = 0; ///< that share the retry budget; 0: not known yet
+    std::size_t entry_daemons = 0; ///< entry daemons that share the retry budget; 0: not known yet
     std::mt19937_64 random;
-    std::map<model_id, model_demand> demand; ///< since the latest report
-    std::function<void()> hurry_report;      ///< the leader is to learn something soon
+    std::map<model_id, model_demand> demand; ///< requests since the latest report
+    std::function<void()> hurry_report;      ///< sends a health report with the next tick
     crash_witness crashes;
-    /// A runner has closed a connection without an answer: whether it has ended is to be found out.
+    /// Starts a check of whether a runner that closed a connection without an answer has
+    /// terminated.
     std::function<void(const runner_id&, const endpoint&)> check_runner_end;
     bool stopping = false;
 };
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -13,16 +13,16 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two ticks.
 constexpr int tick_ms = 20;
-/// After a planned stop has begun, callers still come for this long: the balancer asks every second
-/// and takes a daemon out after two misses. A second is left for what is on its way.
+/// Time after the start of a planned stop during which connections are still accepted. The load
+/// balancer probes every second and removes a daemon after two failed probes; another second is
+/// left for connections that are already being made.
 constexpr duration balancer_patience = milliseconds{3000};
-/// Left of the stop bound when what still runs is broken off.
+/// Requests that still run are aborted this long before the stop bound.
 constexpr duration stop_margin = milliseconds{700};
-/// Connections of callers at a time.
+/// Simultaneous connections of callers.
 constexpr std::size_t most_caller_connections = 2000;
-/// Of a request; twice the limit in the users' own configuration (4 MiB).
+/// Bytes of a request's body: twice the limit in the users' own configuration (4 MiB).
 constexpr std::size_t most_caller_body = std::size_t{8} << 20;
 
 caller_limits limits_of_callers()
@@ -47,7 +47,7 @@
                                      .budget = windowed_retry_budget{own_.budget, steady_now()},
                                      .pool = {},
                                      .metrics = {},
-                                     .entry_daemons = 0, // not known yet
+                                     .entry_daemons = 0, // unknown before the first update
                                      .random = std::mt19937_64{random_seed()},
                                      .demand = {},
                                      .hurry_report = {},
@@ -253,7 +253,7 @@
         unreadable_version_ = accepted.revision();
         log_line("configuration_unreadable")
             .with("version", accepted.revision())
-            .with("reason", document ? why.str() : "the packed document is damaged")
+            .with("reason", document ? why.str() : "the compressed document is corrupt")
             .write();
         return;
     }
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -19,17 +19,18 @@
 
 namespace cedarpoint {
 
-/// An entry daemon: takes callers' requests and follows the control daemons. Has no disk. The
-/// sockets and timers round `relay`, one for each request, and `fleet_follower`.
+/// An entry daemon: accepts callers' requests and follows the control daemons. Stores nothing on
+/// disk. Owns the sockets and timers that drive one `relay` for each request and `fleet_follower`.
 class entry_daemon {
 public:
-    /// Empty with `why` if a listener can't be had.
+    /// Returns null and sets `why` if a listener can't be opened.
     static std::unique_ptr<entry_daemon> start(fleet_settings own, reason& why);
     ~entry_daemon();
     entry_daemon(const entry_daemon&) = delete;
     entry_daemon& operator=(const entry_daemon&) = delete;
 
-    /// A planned stop: not ready at once, still serving while callers may come, then gone.
+    /// Begins a planned stop: reports not ready at once, serves requests until the load balancer
+    /// has removed this daemon, and then calls `on_stopped`.
     void stop();
     std::function<void()> on_stopped;
     [[nodiscard]] bool is_ready() const;
@@ -39,7 +40,7 @@
     bool open(reason& why);
     void tick();
     void check_stop(instant now);
-    /// Lets requests look at their time limits if the machine was suspended.
+    /// If the machine was suspended, makes all requests check their deadlines again.
     void check_suspension(instant now);
     void on_view(view_copy::outcome outcome);
     void take_configuration(const wire::accepted_configuration& accepted);
@@ -58,15 +59,15 @@
     runner_end_checker runner_ends_;
     mesh mesh_;
     std::set<std::shared_ptr<relay>> requests_;
-    std::vector<std::shared_ptr<relay>> ended_; ///< kept until none of their calls is under way
+    std::vector<std::shared_ptr<relay>> ended_; ///< kept until no member function of them runs
     std::unique_ptr<http_listener> callers_listener_;
     std::unique_ptr<http_listener> ready_listener_;
     std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
     suspension_watch suspensions_;
-    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be read
+    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be parsed
     instant stop_began_;
-    bool closing_ = false; ///< a planned stop that accepts no connections any more
+    bool closing_ = false; ///< a planned stop has closed the listener for callers
 };
 
 } // namespace cedarpoint
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Bounds round the users' aims for a first event (0.2 to 0.4 s) and for pauses (0.2 and 0.3 s).
+/// Bounds in seconds, densest near the users' latency targets: 0.2 to 0.4 s for the first event,
+/// 0.2 and 0.3 s for pauses between events.
 const std::vector<double> latency_bounds{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3,
                                          0.4,   0.6,  1,     2,    4,   8};
 
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -13,28 +13,29 @@
 public:
     entry_metrics();
 
-    /// A request has got its final answer. `cause` is a label: one of few texts, without names.
+    /// Counts a request that has got its final answer. `cause` is a label, so it must be one of a
+    /// small set of texts that hold no ids or addresses.
     void count_end(const std::string& outcome, const std::string& cause);
     void count_attempt(const std::string& outcome);
     void observe_first_byte(duration since_arrival);
     void observe_whole(duration since_arrival);
     void observe_pause(duration between_events);
-    /// `age`: since the leader was heard.
+    /// `age`: time since the latest update from the leader.
     void set_view(double version, duration age);
     void set_in_flight(double count) { in_flight_.Set(count); }
-    /// Requests under which runners have ended, as the leader tells.
+    /// Requests during which runners have crashed, as published by the leader.
     void set_suspected_requests(double count) { suspected_requests_.Set(count); }
     void set_quarantined_requests(double count) { quarantined_requests_.Set(count); }
-    /// A runner has ended while this daemon had requests in flight there.
+    /// Counts a runner that crashed while this daemon had requests in flight there.
     void count_runner_end() { runner_ends_.Increment(); }
     void set_rate_limited_runners(double count) { rate_limited_runners_.Set(count); }
-    /// A request is sent to a runner that has named a rate limit.
+    /// Counts a request that is sent to a runner with a rate limit.
     void count_rate_limited_send() { rate_limited_sends_.Increment(); }
     void set_paused_runners(double count) { paused_runners_.Set(count); }
     void set_leaving_runners(double count) { leaving_runners_.Set(count); }
-    /// A request is sent to a runner that has asked to be sent nothing.
+    /// Counts a request that was sent although its runner is paused or leaving.
     void count_held_send() { held_sends_.Increment(); }
-    /// A runner says something of itself in an answer that can't be read.
+    /// Counts an answer with a runner's signal (rate limit, pause or leave) that can't be parsed.
     void count_unreadable_signal() { unreadable_signals_.Increment(); }
 
     [[nodiscard]] std::string text() const { return registry_.text(); }
@@ -58,8 +59,8 @@
     prometheus::Gauge& suspected_requests_;
     prometheus::Gauge& quarantined_requests_;
     prometheus::Counter& runner_ends_;
-    // Looked up once: a family searches its labels at each call, which costs on the path of a
-    // request.
+    // Caches counters by label, because a family searches its labels at each call, which is too
+    // slow on the path of a request.
     std::map<std::string, prometheus::Counter*> known_ends_;
     std::map<std::string, prometheus::Counter*> known_attempts_;
 };
--- a/src/entry/event_cursor.cpp
+++ b/src/entry/event_cursor.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The value of an event's "id" line; empty if it has none.
+/// Returns the value of an event's "id" line; empty if it has none.
 std::string_view find_id(std::string_view event)
 {
     constexpr std::string_view first_line = "id:";
--- a/src/entry/event_cursor.h
+++ b/src/entry/event_cursor.h
@@ -6,17 +6,17 @@
 
 namespace cedarpoint {
 
-/// Follows the ids of the events that a caller has got, so that a stream that goes on at another
-/// runner repeats none. Ids are numbers that rise. One that is no number can't be compared: its
-/// event is passed on.
+/// Tracks the ids of the events that a caller has received, so that a stream that resumes at
+/// another runner repeats no event. Ids are increasing numbers. An id that is not a number can't be
+/// compared, so its event is always forwarded.
 class event_cursor {
 public:
-    /// `resume_after`: the id of the last event that the caller says it has; may be empty.
+    /// `resume_after`: the id of the last event that the caller reports as received; may be empty.
     explicit event_cursor(std::string_view resume_after);
 
-    /// Takes the next event. False if the caller has it already.
+    /// Records the next event. Returns false if the caller has it already.
     [[nodiscard]] bool advance(std::string_view event);
-    /// Where another runner has to go on; empty if no event had an id.
+    /// Returns the id after which another runner has to resume; empty if no event had an id.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
 
 private:
--- a/src/entry/fleet_follower.cpp
+++ b/src/entry/fleet_follower.cpp
@@ -9,12 +9,11 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two reports.
 constexpr duration report_interval = milliseconds{200};
-/// The same while this daemon has no view.
+/// Time between two reports while this daemon has no view.
 constexpr duration first_report_interval = milliseconds{50};
-/// A leader that did not answer for this long, some four reports, is looked for among all control
-/// daemons.
+/// After this time without an answer from the leader, about four reports, reports go to all control
+/// daemons to find a leader.
 constexpr duration leader_silence = milliseconds{900};
 
 } // namespace
@@ -97,13 +96,14 @@
 {
     const auto outcome = view_.take(update);
     if (outcome == view_copy::outcome::stale) {
-        return; // from a leader of an earlier term, or overtaken by a later update
+        return; // from a leader of an earlier term, or older than an update already applied
     }
     if (leader_ != from) {
         leader_ = from;
         hooks_.on_leader(leader_, true);
     }
-    // A message may have waited while this machine was suspended; an answer shows how long.
+    // An update may have been queued while this machine was suspended. If it answers a report, its
+    // stamp is the time of that report, and the leader is only known to have been active then.
     const instant asked_at{duration{update.stamp_us()}};
     heard_ = std::max(heard_, update.stamp_us() == 0 || asked_at > now ? now : asked_at);
     if (update.followers() > 0) {
@@ -122,7 +122,7 @@
 
 void fleet_follower::take_provisional(const wire::fleet_update& update)
 {
-    // Better than no view. A leader's view goes before it, whatever its age.
+    // A leader's view takes precedence over a provisional one, at any age.
     if (!update.provisional() || view_.term() > 0) {
         return;
     }
--- a/src/entry/fleet_follower.h
+++ b/src/entry/fleet_follower.h
@@ -12,33 +12,35 @@
 
 namespace cedarpoint {
 
-/// Finds the leading control daemon from the seeds, reports to it, and keeps a copy of its view. No
-/// I/O: messages and time come in, messages go out through a hook.
+/// Finds the leading control daemon from the seeds, sends it health reports, and keeps a copy of
+/// its view. Does no I/O: messages and the time are arguments, and outgoing messages go through a
+/// hook.
 ///
-/// While no leader answers, the copy stays in use however old it is: runners refuse what does not
-/// fit. A daemon that has none takes a provisional view from any control daemon.
+/// While no leader answers, the copy stays in use at any age, because runners refuse requests that
+/// do not fit their state. A daemon without a view accepts a provisional one from any control
+/// daemon.
 class fleet_follower {
 public:
     struct hooks {
         std::function<void(const daemon_id&, wire::envelope)> send;
         std::function<health_report()> make_report;
         std::function<void(view_copy::outcome)> on_view;
-        std::function<void(const wire::fleet_update&)> on_update; ///< of the present leader
-        /// A leader was found, or lost.
+        std::function<void(const wire::fleet_update&)> on_update; ///< from the current leader
+        /// Called when a leader is found (`found`) or lost.
         std::function<void(const daemon_id&, bool found)> on_leader;
     };
 
     fleet_follower(const fleet_settings& own, hooks hooks);
 
     void tick(instant now);
-    /// Reports with the next tick, whatever is left of the interval.
+    /// Sends a report with the next tick instead of at the end of the interval.
     void hurry() { next_report_ = {}; }
     void receive(instant now, const wire::envelope& in);
 
     [[nodiscard]] const view_copy& view() const { return view_; }
-    /// Entry daemons that follow the same leader, this one with them; 0 while that is not known.
+    /// Returns how many entry daemons follow the leader, including this one; 0 while not known.
     [[nodiscard]] std::size_t followers() const { return followers_; }
-    /// When the leader was heard last.
+    /// Returns the latest time at which the leader is known to have been active.
     [[nodiscard]] instant heard() const { return heard_; }
     [[nodiscard]] bool has_leader(instant now) const;
 
@@ -50,12 +52,12 @@
 
     hooks hooks_;
     std::string failure_domain_;
-    std::set<daemon_id> control_daemons_; ///< that are known
+    std::set<daemon_id> control_daemons_; ///< from the seeds and from updates
     daemon_id leader_;                    ///< empty while none is known
     instant heard_;
     instant next_report_;
     view_copy view_;
-    bool behind_ = true;        ///< an update did not fit the copy: what was sent before is missing
+    bool behind_ = true;        ///< earlier updates are missing: the latest did not fit the copy
     std::size_t followers_ = 0; ///< 0: not known yet
 };
 
--- a/src/entry/own_answer.cpp
+++ b/src/entry/own_answer.cpp
@@ -7,7 +7,7 @@
 namespace cedarpoint {
 namespace {
 
-/// A quarantine lasts until an operator lifts it.
+/// Seconds. Long, since a quarantine lasts until an operator lifts it.
 constexpr std::string_view much_later = "3600";
 constexpr std::string_view never = "";
 
--- a/src/entry/reachability_checker.cpp
+++ b/src/entry/reachability_checker.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two attempts at one runner.
+/// Minimum time between the starts of two attempts to connect to one runner.
 constexpr duration attempt_interval = milliseconds{600};
 
 } // namespace
--- a/src/entry/reachability_checker.h
+++ b/src/entry/reachability_checker.h
@@ -13,8 +13,8 @@
 
 namespace cedarpoint {
 
-/// Tries to connect to runners that the leader can't reach, so that the leader learns whether this
-/// daemon can. Opens a connection and closes it again; sends nothing.
+/// Tries to connect to runners that the leader can't reach, so that health reports show whether
+/// this daemon can. Opens a connection and closes it again; sends no data.
 class reachability_checker {
 public:
     reachability_checker() = default;
@@ -22,12 +22,12 @@
     reachability_checker(const reachability_checker&) = delete;
     reachability_checker& operator=(const reachability_checker&) = delete;
 
-    /// Begins an attempt for each suspect that was not tried lately; forgets those that are no
-    /// longer named.
+    /// Starts an attempt for each suspect without a recent one. Drops the ended attempts for
+    /// runners that are no longer suspects.
     void check(instant now, const std::vector<suspect>& suspects);
-    /// Adds the attempts that have ended.
+    /// Adds the results of the attempts that have ended to `out`.
     void add_checks(instant now, health_report& out) const;
-    /// An attempt has ended.
+    /// Called when an attempt has ended.
     std::function<void()> on_result;
 
 private:
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -13,18 +13,18 @@
 namespace cedarpoint {
 namespace {
 
-/// With less time left than this a request is not sent: no runner would answer.
+/// A request with less time left than this is not sent, since no runner could answer in time.
 constexpr milliseconds shortest_attempt{15};
 
-/// Longest idle time of a kept connection that is used for a request that may run once only: the
-/// longer it rested, the likelier it is closed while the request is on its way, and such a request
-/// can't be sent again.
+/// Longest idle time of a pooled connection that is reused for a request that may run only once.
+/// The longer a connection was idle, the likelier the runner closes it while the request is in
+/// transit, and such a request can't be retried.
 constexpr milliseconds longest_idle_for_once{1000};
-/// The same for a request that can be sent again.
+/// The same limit for a request that can be retried.
 constexpr milliseconds longest_idle_for_repeatable{4000};
 
-/// A stream's runner is held back while its caller has not taken this many bytes; it goes on when
-/// half of them are taken. Bounds the memory of a stream.
+/// Bounds the memory of a stream: reading from the runner pauses when more than this many bytes are
+/// buffered for the caller, and resumes when less than half are.
 constexpr std::size_t slow_caller_bytes = 256 << 10;
 
 std::optional<milliseconds> parse_milliseconds(std::string_view text)
@@ -221,8 +221,8 @@
 
 runner_attempt::handlers relay::make_handlers()
 {
-    // The relay outlives its attempts: it ends them before it ends itself, and its owner keeps it
-    // until none of its calls is under way.
+    // Capturing `this` is safe: the relay cancels its attempts before it finishes, and its owner
+    // keeps it until none of its member functions runs.
     runner_attempt::handlers out;
     out.may_send = [this] { return has_time_to_send(steady_now()); };
     out.on_sent = [this] { ++facts_.sent; };
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -20,11 +20,12 @@
 
 namespace cedarpoint {
 
-/// One caller's request from its arrival to its final answer: is admitted, is sent to a runner, has
-/// the answer passed on, and is sent to another runner or given up after a failure. The decisions
-/// are in `fleet/request_admission.h`, `fleet/target_ranking.h`, `fleet/answer_verdict.h`,
-/// `fleet/retry_policy.h`, `fleet/stall_rule.h` and `fleet/windowed_retry_budget.h`; this class
-/// asks them in turn, keeps the time limit, and writes the answer.
+/// Handles one caller's request from its arrival to its final answer: admits it, sends it to a
+/// runner, forwards the answer, and retries at another runner or gives up after a failure. The
+/// decisions are made by `fleet/request_admission.h`, `fleet/target_ranking.h`,
+/// `fleet/answer_verdict.h`, `fleet/retry_policy.h`, `fleet/stall_rule.h` and
+/// `fleet/windowed_retry_budget.h`; this class calls them, enforces the deadline, and writes the
+/// answer.
 class relay final : public std::enable_shared_from_this<relay> {
 public:
     using end_handler = std::function<void(const std::shared_ptr<relay>&)>;
@@ -36,9 +37,11 @@
     relay& operator=(const relay&) = delete;
 
     void start();
-    /// The view has changed. A stream whose group is no longer in it goes on elsewhere at once.
+    /// Called when the view has changed. If the group of this stream is no longer in the view,
+    /// resumes the stream at another runner at once.
     void on_targets_changed();
-    /// The machine was suspended: the timer of the time limit is late.
+    /// Called after the machine was suspended: the deadline timer does not count that time, so it
+    /// would expire late.
     void on_resumed(instant now);
 
 private:
@@ -54,14 +57,14 @@
     void hold_back_if_slow();
     void on_drained();
     void on_attempt_end(const attempt_verdict& verdict);
-    /// Tells the crash witness what the attempt's end shows of the request.
+    /// Records for crash detection how the attempt ended.
     void note_end(const attempt_verdict& verdict);
     [[nodiscard]] const request_fingerprint& fingerprint();
     [[nodiscard]] bool is_quarantined();
-    /// True if another attempt is not worth the runner that it might end.
+    /// Returns true if the request must not be retried because it may crash another runner.
     [[nodiscard]] bool may_end_more_runners(attempt_outcome outcome);
     void on_stalled();
-    /// Cancels the attempt under way; the request goes on elsewhere, as far as it may.
+    /// Cancels the current attempt and retries at another runner if that is allowed.
     void move_on(const char* why);
     void abandon_attempt();
     void decide(const attempt_verdict& verdict);
@@ -71,7 +74,7 @@
     void pass_failure(const std::string& why);
     void break_off(const std::string& why);
     void answer(own_answer kind, const std::string& why);
-    /// The value of Retry-After; empty: none.
+    /// Returns the value of Retry-After; empty if the answer has none.
     [[nodiscard]] std::string retry_after(const own_answer_shape& shape);
     void on_caller_gone();
     void on_deadline();
@@ -83,19 +86,19 @@
     http_request request_;
     std::shared_ptr<http_reply> reply_;
     end_handler on_end_;
-    std::shared_ptr<const route_table> routes_; ///< as it was at the arrival
+    std::shared_ptr<const route_table> routes_; ///< in force when the request arrived
     std::string id_;
     instant arrived_;
     admission admission_;
     retry_facts facts_;
-    std::optional<request_fingerprint> fingerprint_; ///< computed once it is asked for
+    std::optional<request_fingerprint> fingerprint_; ///< computed at its first use
     std::set<runner_id> tried_;
-    std::optional<instant> pause_ends_;       ///< only if all targets have asked for a pause
+    std::optional<instant> pause_ends_;       ///< set only if all targets are paused
     std::shared_ptr<runner_attempt> attempt_; ///< the latest; null before the first
     event_cursor cursor_;
-    bool begun_ = false; ///< the caller has got a stream's head
+    bool begun_ = false; ///< the head of a stream was sent to the caller
     instant latest_event_at_;
-    std::optional<http_head> failure_; ///< the latest whole answer that says that it failed
+    std::optional<http_head> failure_; ///< head of the latest complete answer with a 4xx or 5xx
     std::string failure_body_;
     QTimer deadline_timer_;
     bool ended_ = false;
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -1,4 +1,5 @@
-// The final answer of a request: a runner's, this daemon's own, or a break.
+// How a request ends: with a runner's answer, with an answer of this daemon, or with an aborted
+// stream.
 
 #include "entry/relay.h"
 
@@ -15,8 +16,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Callers that were refused for a pause come back over this many seconds after its end: the
-/// runner is not met by all of them at once.
+/// Upper bound in seconds of the random time that is added to Retry-After for callers refused
+/// during a pause, so that they don't all retry at the moment when it ends.
 constexpr double longest_spread_s = 0.5;
 
 } // namespace
@@ -66,7 +67,8 @@
 {
     auto head = without_hop_by_hop(*failure_);
     if (head.status == http_status::service_unavailable && head.fields.has(retry_after_field)) {
-        // The pause is asked of this daemon; others may serve the caller sooner.
+        // The runner's pause applies only to this daemon; other entry daemons may serve the caller
+        // sooner.
         head = without_field(head, retry_after_field);
         head.fields.add(retry_after_field, std::string{retry_soon});
     }
@@ -139,7 +141,7 @@
     deadline_timer_.stop();
     reply_->on_gone = nullptr;
     reply_->on_drained = nullptr;
-    // What follows a colon names a peer: as a label it would make a series for each.
+    // The text after a colon names a peer. As a label value it would create a time series for each.
     context_.metrics.count_end(outcome, std::string{cause.substr(0, cause.find(':'))});
     log_line{"request"}
         .with("id", id_)
--- a/src/entry/relay_quarantine.cpp
+++ b/src/entry/relay_quarantine.cpp
@@ -1,4 +1,4 @@
-// What a request's attempts show of whether it ends the runners that run it.
+// Detection of requests that crash the runners that run them.
 
 #include "entry/relay.h"
 
@@ -48,7 +48,7 @@
     }
     const auto* target = context_.targets.find(attempt_->runner());
     if (!attempt_->was_cut() || target == nullptr || !target->accepting) {
-        return; // a runner that is leaving ends as planned
+        return; // the end of a runner that leaves is planned and no crash
     }
     crash_observation seen{target->runner,  attempt_->sent_at(),     now, {},
                            request_id{id_}, attempt_->connected_at()};
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -83,7 +83,7 @@
     }
     connection_->pause(paused);
     if (paused) {
-        stall_timer_.stop(); // it is the caller that is waited for
+        stall_timer_.stop(); // the caller is slow, not the runner
     }
 }
 
@@ -103,7 +103,8 @@
     if (!handlers_.may_send()) {
         return "too little time is left";
     }
-    // The runner may have spoken to another request while this one waited for its connection.
+    // While this request waited for its connection, an answer to another request may have asked for
+    // a pause or announced that the runner leaves.
     return context_.targets.holds().find(now, runner_) == send_hold::none
                ? ""
                : "the runner has asked to be sent nothing";
@@ -156,7 +157,7 @@
     news.leave = signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, life_);
     log_signals(runner_, signals_, news, options_.id);
     if (news.rate_limit || news.leave) {
-        context_.hurry_report(); // others send there until the leader tells them
+        context_.hurry_report(); // other daemons send there until the leader publishes the change
     }
     if (signals_.has_unreadable()) {
         context_.metrics.count_unreadable_signal();
@@ -167,7 +168,7 @@
 {
     const bool is_named = signals_.rate_limit.kind != rate_limit_reading::kind_t::absent;
     if (!is_named && !is_authentic(*head_)) {
-        return false; // only an answer that the runner itself has surely made ends a limit
+        return false; // only an answer that is certainly from the runner itself ends a limit
     }
     return context_.targets.permits().on_answer(now, runner_, signals_.rate_limit, *sent_at_);
 }
@@ -261,7 +262,7 @@
     }
     if (verdict.effect == target_effect::success) {
         context_.targets.on_success(runner_);
-        // How long a plain runner takes; for heads of groups the pauses of streams are what counts.
+        // Response time of a plain runner. Heads of groups are measured by the pauses of streams.
         if (!streaming_ && !of_group_) {
             context_.targets.on_wait(runner_, now - *sent_at_);
         }
--- a/src/entry/runner_attempt.h
+++ b/src/entry/runner_attempt.h
@@ -19,30 +19,30 @@
 
 namespace cedarpoint {
 
-/// One attempt to have a runner answer a request. Takes a connection from the pool, sends the
-/// request, reads the answer, and notes in the target set what it shows of the runner. Decides
-/// nothing about the request.
+/// One attempt to get an answer to a request from one runner. Takes a connection from the pool,
+/// sends the request, reads the answer, and updates the runner's statistics in the target set.
+/// Makes no decision about retries.
 class runner_attempt final : public std::enable_shared_from_this<runner_attempt> {
 public:
     struct options {
-        /// Head and body, made when the connection is there: they tell the time that is left.
+        /// Builds head and body once the connection is open, since the head states the time left.
         std::function<std::string()> make_request;
-        std::string id;                    ///< that an authentic answer echoes
+        std::string id;                    ///< request id, which an authentic answer echoes
         bool head_only = false;            ///< the answer has no body
-        bool expects_stream = false;       ///< of events
-        bool continues_stream = false;     ///< the caller has got part of the stream already
-        milliseconds longest_idle{0};      ///< of a kept connection that may be used
+        bool expects_stream = false;       ///< a stream of events is a valid answer
+        bool continues_stream = false;     ///< the caller has part of the stream already
+        milliseconds longest_idle{0};      ///< maximum idle time of a reused connection
         milliseconds first_event_limit{0}; ///< see `stall_rule.h`
         milliseconds event_pause_limit{0};
     };
-    /// After `on_end` or `cancel` none is called.
+    /// None is called after `on_end` or `cancel`.
     struct handlers {
-        std::function<bool()> may_send; ///< asked once the connection is there
+        std::function<bool()> may_send; ///< called once the connection is open
         std::function<void()> on_sent;
-        /// A whole event of a stream. False if it was not passed on.
+        /// Called with each complete event of a stream. Returns false if it was not forwarded.
         std::function<bool(std::string_view)> on_event;
-        std::function<void()> on_events_passed; ///< those of one read
-        std::function<void()> on_stalled;       ///< the attempt goes on unless it is cancelled
+        std::function<void()> on_events_passed; ///< called after all events of one read
+        std::function<void()> on_stalled;       ///< the attempt continues unless it is cancelled
         std::function<void(const attempt_verdict&)> on_end;
     };
 
@@ -55,32 +55,33 @@
     void start();
     /// Ends the attempt and its connection.
     void cancel();
-    /// Stops or resumes reading, for a caller that is slow to take what was passed on.
+    /// Pauses or resumes reading from the runner, for a caller that reads slowly.
     void pause(bool paused);
 
     [[nodiscard]] bool is_running() const { return connection_ != nullptr; }
     [[nodiscard]] bool was_sent() const { return sent_at_.has_value(); }
-    /// When the request was handed to the connection; only once it was.
+    /// Returns when the request was written to the connection. Precondition: `was_sent()`.
     [[nodiscard]] instant sent_at() const { return *sent_at_; }
-    /// When its connection was made; only once the request was sent.
+    /// Returns when the connection was made. Precondition: `was_sent()`.
     [[nodiscard]] instant connected_at() const { return connected_at_; }
-    /// True once the whole answer has come.
+    /// Returns true once the complete answer has arrived.
     [[nodiscard]] bool is_complete() const { return is_complete_; }
-    /// True if the connection ended without a whole answer.
+    /// Returns true if the connection ended without a complete answer.
     [[nodiscard]] bool was_cut() const { return was_cut_; }
     [[nodiscard]] const runner_id& runner() const { return runner_; }
     [[nodiscard]] const group_id& group() const { return group_; }
-    /// True once the head has come, and is that of a stream of events that can be passed on.
+    /// Returns true once the head has arrived, if it begins a stream of events that can be
+    /// forwarded.
     [[nodiscard]] bool is_streaming() const { return streaming_; }
-    /// The answer's head. Only once it has come.
+    /// Returns the answer's head. Precondition: it has arrived.
     [[nodiscard]] const http_head& head() const { return *head_; }
-    /// The answer's body as far as it has come, unless it is a stream.
+    /// Returns the part of the answer's body that has arrived; empty for a stream.
     [[nodiscard]] const std::string& body() const { return body_; }
 
 private:
-    /// False if the request may not be sent any more; the attempt has ended then.
+    /// Returns false if the request may no longer be sent; the attempt has then ended.
     [[nodiscard]] bool on_connected();
-    /// Why the request may not be sent now; empty if it may.
+    /// Returns why the request may not be sent now; empty if it may.
     [[nodiscard]] std::string_view why_not_now(instant now);
     void on_sent();
     void on_head(const http_head& head);
@@ -92,9 +93,9 @@
     [[nodiscard]] attempt_verdict judge_complete() const;
     [[nodiscard]] bool is_authentic(const http_head& head) const;
     void note(const attempt_verdict& verdict);
-    /// Takes what the answer's head says of the runner itself.
+    /// Records the signals in the answer's head: rate limit, pause and leave.
     void note_signals(instant now);
-    /// True if it changes whether the runner is limited, or its rate.
+    /// Returns true if the answer changes whether the runner is rate limited, or its rate.
     bool note_rate_limit(instant now);
     void count_held_send(instant now);
     void arm_stall_timer(milliseconds limit);
@@ -103,7 +104,7 @@
     entry_context& context_;
     endpoint address_;
     runner_id runner_;
-    birth life_; ///< of the runner, as the view showed it at the start
+    birth life_; ///< the runner's start time, from the view at the beginning of the attempt
     group_id group_;
     bool of_group_;
     options options_;
@@ -111,9 +112,9 @@
     runner_connection* connection_ = nullptr; ///< null before the start and after the end
     std::optional<instant> sent_at_;
     instant connected_at_;
-    std::optional<instant> latest_event_at_; ///< that was passed on
+    std::optional<instant> latest_event_at_; ///< of the events that were forwarded
     std::optional<http_head> head_;
-    answer_signals signals_; ///< of that head
+    answer_signals signals_; ///< from `head_`
     std::string body_;
     sse_splitter events_;
     bool streaming_ = false;
--- a/src/entry/runner_request.cpp
+++ b/src/entry/runner_request.cpp
@@ -8,7 +8,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Headers that callers may not set: written by this daemon, or not the runner's concern.
+/// Returns true for headers that are not copied from the caller: this daemon sets them, or the
+/// runner must not see them.
 bool is_reserved(const header_names& names, std::string_view name)
 {
     const std::array<std::string_view, 6> reserved{names.deadline_ms,  names.priority,
--- a/src/entry/runner_request.h
+++ b/src/entry/runner_request.h
@@ -10,17 +10,17 @@
 
 namespace cedarpoint {
 
-/// What this daemon writes into the head of a request to a runner, whatever the caller wrote there.
+/// Header values that this daemon sets in a request to a runner. They replace those of the caller.
 struct runner_request {
     milliseconds time_left{0};
     runner_id expected_runner;
     std::optional<client_account_id> account;
     std::optional<int> priority; ///< 0 is served first
-    std::string resume_after;    ///< id of the last event that the caller has; empty: none
+    std::string resume_after;    ///< id of the last event that the caller has; empty if none
 };
 
-/// The bytes of a caller's request as a runner gets them: method, target and body unchanged, the
-/// caller's headers without those of its connection and without its key.
+/// Serializes a caller's request for a runner. Method, target and body are unchanged; the caller's
+/// hop-by-hop headers and its key are removed.
 [[nodiscard]] std::string serialize(const http_request& from, const runner_request& own,
                                     const header_names& names);
 
--- a/tests/entry/runner_request_test.cpp
+++ b/tests/entry/runner_request_test.cpp
@@ -1,4 +1,4 @@
-// What a runner gets of a caller's request.
+// How a caller's request is serialized for a runner, and the responses that the daemon generates.
 
 #include "entry/own_answer.h"
 #include "entry/runner_request.h"
