--- a/src/control_daemon/control_api.cpp
+++ b/src/control_daemon/control_api.cpp
@@ -98,7 +98,7 @@
         get_configuration(reply);
         break;
     case control_call::heartbeat:
-        take_heartbeat(parsed.runner, request, reply);
+        handle_heartbeat(parsed.runner, request, reply);
         break;
     case control_call::list_quarantine:
         list_quarantine(reply);
@@ -107,7 +107,7 @@
         lift_quarantine(parsed.request, reply);
         break;
     default:
-        take_departure(parsed.runner, true, platform_.read_departing_life(request.body), reply);
+        handle_departure(parsed.runner, true, platform_.read_departing_life(request.body), reply);
         break;
     }
 }
@@ -159,8 +159,8 @@
     answer(reply, http_status::ok, state_.document());
 }
 
-void control_api::take_heartbeat(const runner_id& runner, const http_request& request,
-                                 const reply_ptr& reply)
+void control_api::handle_heartbeat(const runner_id& runner, const http_request& request,
+                                   const reply_ptr& reply)
 {
     reason why;
     const auto read = platform_.read_announcement(runner, request.body, why);
@@ -180,18 +180,18 @@
         log_new_runner(*read);
     }
     if (read->draining && !state_.is_leaving(runner)) {
-        take_departure(runner, false, read->born, reply);
+        handle_departure(runner, false, read->born, reply);
         return;
     }
     answer(reply, http_status::ok, "{}");
 }
 
-void control_api::take_departure(const runner_id& runner, bool gone, birth told,
-                                 const reply_ptr& reply)
+void control_api::handle_departure(const runner_id& runner, bool gone, birth reported_life,
+                                   const reply_ptr& reply)
 {
     const auto* record = leader_.registry().find(runner);
     const auto latest = record == nullptr ? birth{} : record->latest.born;
-    const auto life = told == birth{} ? latest : told;
+    const auto life = reported_life == birth{} ? latest : reported_life;
     const bool is_known = gone ? state_.is_gone(runner) : state_.is_leaving(runner);
     // A departure from before the runner's latest start no longer applies.
     if (is_known || life < latest) {
--- a/src/control_daemon/control_api.h
+++ b/src/control_daemon/control_api.h
@@ -49,13 +49,14 @@
     void propose_configuration(std::uint64_t version, const std::string& document,
                                const reply_ptr& reply);
     void get_configuration(const reply_ptr& reply);
-    void take_heartbeat(const runner_id& runner, const http_request& request,
-                        const reply_ptr& reply);
+    void handle_heartbeat(const runner_id& runner, const http_request& request,
+                          const reply_ptr& reply);
     void list_quarantine(const reply_ptr& reply);
     void lift_quarantine(const request_fingerprint& request, const reply_ptr& reply);
     /// Proposes a runner's departure to the log. `gone`: the runner terminates; otherwise it
-    /// drains. `told`: the runner's start time as stated in the call; 0 if it states none.
-    void take_departure(const runner_id& runner, bool gone, birth told, const reply_ptr& reply);
+    /// drains. `reported_life`: the runner's start time as stated in the call; 0 if it states none.
+    void handle_departure(const runner_id& runner, bool gone, birth reported_life,
+                          const reply_ptr& reply);
 
     const platform_adapter& platform_;
     const fleet_state& state_;
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -15,7 +15,7 @@
 /// Time between two summaries of the plan in the log and in the metrics.
 constexpr duration summary_interval = seconds{1};
 /// Exit code after a failure of the replicated log's storage; see docs/OPERATIONS.md.
-constexpr int disk_failed_exit = 5;
+constexpr int disk_failure_exit_code = 5;
 
 } // namespace
 
@@ -41,7 +41,7 @@
     if (!address || leader == id_.str()) {
         return {};
     }
-    return endpoint{address->ip, own_.control->port}; // all control daemons use the same port
+    return endpoint{address->ip, settings_.control->port}; // all control daemons use the same port
 }
 
 void control_daemon::tick()
@@ -52,15 +52,15 @@
     const auto now = steady_now();
     disk_.note(log_->refused_write());
     metrics_.set_disk_refuses(disk_.refuses());
-    if (!can_go_on()) {
+    if (!check_log()) {
         return;
     }
-    note_leader();
+    track_leader();
     membership_->tick(now, leads(now));
     metrics_.set_leader(leads(now));
     metrics_.set_version(static_cast<double>(state_.version()));
     if (leads(now)) {
-        lead(now);
+        tick_leader(now);
     }
     else {
         orders_->cancel_all();
@@ -72,7 +72,7 @@
     mesh_.drain();
 }
 
-bool control_daemon::can_go_on()
+bool control_daemon::check_log()
 {
     const auto& failure = log_->failure();
     if (!failure) {
@@ -80,16 +80,16 @@
     }
     log_line("disk_failed").with("reason", failure->str()).write();
     timer_.stop();
-    on_stopped(disk_failed_exit);
+    on_stopped(disk_failure_exit_code);
     return false;
 }
 
-void control_daemon::note_leader()
+void control_daemon::track_leader()
 {
     const daemon_id leader{log_->raft().leader().str()};
     if (leader.empty()) {
         const auto now = steady_now();
-        elections_.note(now, log_->raft().elections(now));
+        elections_.write_if_due(now, log_->raft().elections(now));
     }
     else {
         elections_.on_leader();
@@ -105,7 +105,7 @@
     known_leader_ = leader;
 }
 
-void control_daemon::lead(instant now)
+void control_daemon::tick_leader(instant now)
 {
     const auto term = log_->raft().term();
     if (led_term_ != term) {
@@ -114,7 +114,7 @@
         log_line("leading").with("term", term).with("version", state_.version()).write();
     }
     for (const auto& step : leader_.tick(now)) {
-        carry_out(now, step);
+        execute(now, step);
     }
     drop_lost_followers(now);
     if (now >= next_refresh_) {
@@ -122,7 +122,7 @@
     }
 }
 
-void control_daemon::carry_out(instant now, const planner_step& step)
+void control_daemon::execute(instant now, const planner_step& step)
 {
     if (step.kind == planner_step::kind_t::record) {
         log_->propose(now, step.command, {});
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -5,7 +5,7 @@
 #include "cedarpoint/fleet/fleet_leader.h"
 #include "control_daemon/control_api.h"
 #include "control_daemon/control_metrics.h"
-#include "control_daemon/election_log.h"
+#include "control_daemon/election_logger.h"
 #include "control_daemon/log_membership.h"
 #include "control_daemon/provisional_views.h"
 #include "control_daemon/runner_orders.h"
@@ -29,7 +29,7 @@
 class control_daemon {
 public:
     /// Returns null and sets `why` if a listener or the data folder can't be opened.
-    static std::unique_ptr<control_daemon> start(fleet_settings own, reason& why);
+    static std::unique_ptr<control_daemon> start(fleet_settings daemon_settings, reason& why);
     ~control_daemon();
     control_daemon(const control_daemon&) = delete;
     control_daemon& operator=(const control_daemon&) = delete;
@@ -40,7 +40,7 @@
 private:
     using reply_ptr = std::shared_ptr<http_reply>;
 
-    explicit control_daemon(fleet_settings own);
+    explicit control_daemon(fleet_settings daemon_settings);
     bool open(reason& why);
     bool open_log(reason& why);
     bool open_listeners(reason& why);
@@ -50,10 +50,10 @@
 
     void tick();
     /// Returns false once the replicated log has failed; logs the failure and stops the process.
-    bool can_go_on();
-    void note_leader();
-    void lead(instant now);
-    void carry_out(instant now, const planner_step& step);
+    bool check_log();
+    void track_leader();
+    void tick_leader(instant now);
+    void execute(instant now, const planner_step& step);
     void drop_lost_followers(instant now);
     void push_view(instant now);
     /// Logs a summary of the plan and updates the metrics on it.
@@ -73,7 +73,7 @@
     /// Returns the API address of the leader; empty if none is known or this daemon leads.
     [[nodiscard]] std::optional<endpoint> leader_api() const;
 
-    fleet_settings own_;
+    fleet_settings settings_;
     daemon_id id_;
     const platform_adapter& platform_;
     posix_file_system files_;
@@ -91,7 +91,7 @@
     QTimer timer_;
     std::uint64_t led_term_ = 0; ///< the latest term in which this process led; 0: none
     disk_watch disk_;
-    election_log elections_;
+    election_logger elections_;
     daemon_id known_leader_;
     instant next_refresh_;
     instant next_summary_;
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -15,41 +15,41 @@
 namespace cedarpoint {
 namespace {
 
-constexpr int tick_ms = 20;
+constexpr int tick_interval_ms = 20;
 /// A new leader is elected 0.5 to 1 s after the last message of the previous one.
 constexpr duration election_timeout = milliseconds{500};
 /// Time between two heartbeats of the log's leader.
 constexpr duration raft_heartbeat = milliseconds{100};
 /// Simultaneous connections of operators and runners.
-constexpr std::size_t most_api_connections = 1500;
+constexpr std::size_t max_api_connections = 1500;
 /// Bytes of a declarative configuration document. The largest known one has 260 KB with 900 routes.
-constexpr std::size_t most_api_body = 16 << 20;
+constexpr std::size_t max_api_body_bytes = 16 << 20;
 /// The name of the log in messages, and of its folder.
 constexpr const char* log_name = "fleet";
 
 caller_limits api_limits()
 {
     caller_limits out;
-    out.max_connections = most_api_connections;
-    out.max_body_bytes = most_api_body;
+    out.max_connections = max_api_connections;
+    out.max_body_bytes = max_api_body_bytes;
     return out;
 }
 
-planner_options planner_options_of(const fleet_settings& own)
+planner_options planner_options_of(const fleet_settings& daemon_settings)
 {
     planner_options out;
-    out.heartbeat = own.heartbeat;
+    out.heartbeat = daemon_settings.heartbeat;
     // By then every runner has sent a heartbeat; half an interval is left for its transmission.
-    out.settle = own.heartbeat * 3 / 2;
+    out.settle = daemon_settings.heartbeat * 3 / 2;
     return out;
 }
 
 /// Returns the ids of the daemons at the seeds. All daemons use the same port for each other.
-std::vector<daemon_id> seed_daemons(const fleet_settings& own)
+std::vector<daemon_id> seed_daemons(const fleet_settings& daemon_settings)
 {
     std::vector<daemon_id> out;
-    for (const auto& seed : own.seeds) {
-        out.emplace_back(endpoint{seed.ip, own.address.port}.str());
+    for (const auto& seed : daemon_settings.seeds) {
+        out.emplace_back(endpoint{seed.ip, daemon_settings.address.port}.str());
     }
     return out;
 }
@@ -102,10 +102,11 @@
 
 } // namespace
 
-control_daemon::control_daemon(fleet_settings own)
-    : own_{std::move(own)}, id_{own_.address.str()}, platform_{installed_platform()},
-      leader_{planner_options_of(own_), platform_, state_}, provisional_views_{platform_, state_},
-      mesh_{[this](const wire::envelope& in) { receive(in); }}
+control_daemon::control_daemon(fleet_settings daemon_settings)
+    : settings_{std::move(daemon_settings)}, id_{settings_.address.str()},
+      platform_{installed_platform()}, leader_{planner_options_of(settings_), platform_, state_},
+      provisional_views_{platform_, state_}, mesh_{
+                                                 [this](const wire::envelope& in) { receive(in); }}
 {
     leader_.set_event_handler(log_group);
     leader_.on_unreadable_configuration = log_unreadable;
@@ -118,9 +119,9 @@
 
 control_daemon::~control_daemon() = default;
 
-std::unique_ptr<control_daemon> control_daemon::start(fleet_settings own, reason& why)
+std::unique_ptr<control_daemon> control_daemon::start(fleet_settings daemon_settings, reason& why)
 {
-    std::unique_ptr<control_daemon> out{new control_daemon{std::move(own)}};
+    std::unique_ptr<control_daemon> out{new control_daemon{std::move(daemon_settings)}};
     if (!out->open(why)) {
         return {};
     }
@@ -131,17 +132,17 @@
 {
     open_orders();
     open_api();
-    if (!open_log(why) || !mesh_.start_open(own_.bind.value_or(own_.address), why) ||
+    if (!open_log(why) || !mesh_.start_open(settings_.bind.value_or(settings_.address), why) ||
         !open_listeners(why)) {
         return false;
     }
     QObject::connect(&timer_, &QTimer::timeout, [this] { tick(); });
-    timer_.start(tick_ms);
+    timer_.start(tick_interval_ms);
     log_line("started")
         .with("role", "control")
-        .with("name", own_.name)
+        .with("name", settings_.name)
         .with("id", id_.str())
-        .with("first_start", own_.first_start)
+        .with("first_start", settings_.first_start)
         .with("version", state_.version())
         .with("term", log_->raft().term())
         .write();
@@ -154,11 +155,11 @@
     out.self = member_id{id_.str()};
     out.raft.election_timeout = election_timeout;
     out.raft.heartbeat = raft_heartbeat;
-    out.raft.start = own_.first_start ? start_mode::first : start_mode::later;
+    out.raft.start = settings_.first_start ? start_mode::first : start_mode::later;
     out.seed = std::random_device{}();
     out.clock = steady_now;
-    if (own_.first_start) {
-        for (const auto& seed : seed_daemons(own_)) {
+    if (settings_.first_start) {
+        for (const auto& seed : seed_daemons(settings_)) {
             auto* member = out.bootstrap.add_members();
             member->set_id(seed.str());
             member->set_voter(true);
@@ -175,15 +176,15 @@
         *out.mutable_raft()->mutable_message() = message;
         elections_.on_message(to, send(daemon_id{to.str()}, std::move(out)));
     };
-    const auto folder = own_.data_folder + "/" + log_name;
+    const auto folder = settings_.data_folder + "/" + log_name;
     log_ = replicated_log::open(steady_now(), make_log_options(), &files_, folder, state_,
                                 send_raft, why);
     if (log_ == nullptr) {
         return false;
     }
     membership_ = std::make_unique<log_membership>(
-        log_membership::options{id_, seed_daemons(own_), log_name,
-                                voters_for(own_.tolerated_losses)},
+        log_membership::options{id_, seed_daemons(settings_), log_name,
+                                voters_for(settings_.tolerated_losses)},
         *log_, [this](const daemon_id& to, wire::envelope out) { send(to, std::move(out)); });
     return true;
 }
@@ -230,14 +231,14 @@
         api_limits(), [this](const http_request& request, const reply_ptr& reply) {
             api_->on_call(request, reply);
         });
-    if (!api_listener_->start(*own_.control, why)) {
+    if (!api_listener_->start(*settings_.control, why)) {
         return false;
     }
-    if (!own_.metrics) {
+    if (!settings_.metrics) {
         return true;
     }
     metrics_listener_ = make_metrics_listener([this] { return metrics_.text(); });
-    return metrics_listener_->start(*own_.metrics, why);
+    return metrics_listener_->start(*settings_.metrics, why);
 }
 
 void control_daemon::stop()
--- a/src/control_daemon/election_log.cpp
+++ b/src/control_daemon/election_logger.cpp
@@ -1,4 +1,4 @@
-#include "control_daemon/election_log.h"
+#include "control_daemon/election_logger.h"
 
 #include "io/log_line.h"
 
@@ -25,13 +25,13 @@
 
 } // namespace
 
-void election_log::on_message(const member_id& to, bool sent)
+void election_logger::on_message(const member_id& to, bool sent)
 {
-    auto& own = traffic_[to];
-    ++(sent ? own.sent : own.dropped);
+    auto& traffic_to_peer = traffic_[to];
+    ++(sent ? traffic_to_peer.sent : traffic_to_peer.dropped);
 }
 
-void election_log::note(instant now, const election_status& status)
+void election_logger::write_if_due(instant now, const election_status& status)
 {
     if (!leaderless_since_) {
         leaderless_since_ = now;
@@ -44,8 +44,9 @@
     next_line_ = now + line_interval;
     std::string peers;
     for (const auto& each : status.peers) {
-        const auto& own = traffic_[each.member];
-        peers += (peers.empty() ? "" : "; ") + describe(now, each, own.sent, own.dropped);
+        const auto& traffic_to_peer = traffic_[each.member];
+        peers += (peers.empty() ? "" : "; ") +
+                 describe(now, each, traffic_to_peer.sent, traffic_to_peer.dropped);
     }
     traffic_.clear();
     log_line("no_leader")
--- a/src/control_daemon/election_log.h
+++ b/src/control_daemon/election_logger.h
@@ -11,13 +11,13 @@
 /// Writes a log line every second while a control daemon knows no leader: the state of its
 /// election, and for each peer the votes requested, the replies, and whether there is a connection
 /// to it.
-class election_log {
+class election_logger {
 public:
     /// Counts a message of the log to a peer. `sent`: false if there was no connection and the
     /// message was dropped.
     void on_message(const member_id& to, bool sent);
     /// Writes a line if one is due. Call while no leader is known.
-    void note(instant now, const election_status& status);
+    void write_if_due(instant now, const election_status& status);
     /// Call while a leader is known.
     void on_leader() { leaderless_since_.reset(); }
 
--- a/src/control_daemon/log_membership.cpp
+++ b/src/control_daemon/log_membership.cpp
@@ -37,20 +37,20 @@
 {
     switch (next.kind) {
     case membership_change::kind_t::promote:
-        change(now, next.member, true, true);
+        change_member(now, next.member, true, true);
         return;
     case membership_change::kind_t::demote:
-        change(now, next.member, true, false);
+        change_member(now, next.member, true, false);
         // Check again at once to promote a learner: until then the log tolerates one loss less.
         next_check_ = now;
         return;
     case membership_change::kind_t::remove:
-        change(now, next.member, false, false);
+        change_member(now, next.member, false, false);
         return;
     }
 }
 
-void log_membership::change(instant now, const member_id& member, bool present, bool voter)
+void log_membership::change_member(instant now, const member_id& member, bool present, bool voter)
 {
     // Fails while an earlier change is not committed; the next check tries again.
     if (log_.change_membership(now, member, present, voter)) {
@@ -80,16 +80,16 @@
 {
     const member_id member{in.join().member()};
     if (!leads) {
-        pass_on(in);
+        forward_join(in);
         return;
     }
     // A member's id is its address.
     if (!log_.raft().is_member(member) && endpoint::parse(member.str())) {
-        change(now, member, true, false);
+        change_member(now, member, true, false);
     }
 }
 
-void log_membership::pass_on(const wire::envelope& in)
+void log_membership::forward_join(const wire::envelope& in)
 {
     // A daemon asks the seeds, which need not lead. A forwarded request is not forwarded again:
     // two members that each take the other for the leader would forward it endlessly.
--- a/src/control_daemon/log_membership.h
+++ b/src/control_daemon/log_membership.h
@@ -35,9 +35,9 @@
 
 private:
     void apply(instant now, const membership_change& change);
-    void change(instant now, const member_id& member, bool present, bool voter);
+    void change_member(instant now, const member_id& member, bool present, bool voter);
     void ask_to_join();
-    void pass_on(const wire::envelope& in);
+    void forward_join(const wire::envelope& in);
 
     options options_;
     replicated_log& log_;
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -128,7 +128,7 @@
     handlers.on_head = [this, weak](const http_head& head) {
         if (const auto open = weak.lock()) {
             open->status = head.status;
-            note_signals(*open, head);
+            record_signals(*open, head);
         }
     };
     handlers.on_body = [](const std::string& /*bytes*/) {}; // only the status is used
@@ -157,7 +157,7 @@
     close(each);
 }
 
-void runner_orders::note_signals(const call& each, const http_head& head)
+void runner_orders::record_signals(const call& each, const http_head& head)
 {
     const auto& runner = each.step.order.to;
     const auto signals = read_answer_signals({head.status,
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -61,7 +61,7 @@
     /// Drops the call unless it may still be sent.
     void on_connected(const call_ptr& each);
     /// Records the signals in the answer's head: pause and leave.
-    void note_signals(const call& each, const http_head& head);
+    void record_signals(const call& each, const http_head& head);
     void on_end(const call_ptr& each, exchange_end how);
     void report_order(const call& each, exchange_end how);
     void report_probe(const call& each, exchange_end how);
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -27,8 +27,8 @@
     entry_metrics metrics;
     std::size_t entry_daemons = 0; ///< entry daemons that share the retry budget; 0: not known yet
     std::mt19937_64 random;
-    std::map<model_id, model_demand> demand; ///< requests since the latest report
-    std::function<void()> hurry_report;      ///< sends a health report with the next tick
+    std::map<model_id, model_demand> demand;   ///< requests since the latest report
+    std::function<void()> request_report_soon; ///< sends a health report with the next tick
     crash_witness crashes;
     /// Starts a check of whether a runner that closed a connection without an answer has
     /// terminated.
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -13,23 +13,23 @@
 namespace cedarpoint {
 namespace {
 
-constexpr int tick_ms = 20;
+constexpr int tick_interval_ms = 20;
 /// Time after the start of a planned stop during which connections are still accepted. The load
 /// balancer probes every second and removes a daemon after two failed probes; another second is
 /// left for connections that are already being made.
-constexpr duration balancer_patience = milliseconds{3000};
+constexpr duration balancer_removal_time = milliseconds{3000};
 /// Requests that still run are aborted this long before the stop bound.
 constexpr duration stop_margin = milliseconds{700};
 /// Simultaneous connections of callers.
-constexpr std::size_t most_caller_connections = 2000;
+constexpr std::size_t max_caller_connections = 2000;
 /// Bytes of a request's body: twice the limit in the users' own configuration (4 MiB).
-constexpr std::size_t most_caller_body = std::size_t{8} << 20;
+constexpr std::size_t max_caller_body_bytes = std::size_t{8} << 20;
 
 caller_limits limits_of_callers()
 {
     caller_limits out;
-    out.max_connections = most_caller_connections;
-    out.max_body_bytes = most_caller_body;
+    out.max_connections = max_caller_connections;
+    out.max_body_bytes = max_caller_body_bytes;
     return out;
 }
 
@@ -40,22 +40,23 @@
 
 } // namespace
 
-entry_daemon::entry_daemon(fleet_settings own)
-    : own_{std::move(own)}, context_{.platform = installed_platform(),
-                                     .routes = nullptr,
-                                     .targets = target_set{own_.failure_domain, random_seed()},
-                                     .budget = windowed_retry_budget{own_.budget, steady_now()},
-                                     .pool = {},
-                                     .metrics = {},
-                                     .entry_daemons = 0, // unknown before the first update
-                                     .random = std::mt19937_64{random_seed()},
-                                     .demand = {},
-                                     .hurry_report = {},
-                                     .crashes = {},
-                                     .check_runner_end = {},
-                                     .stopping = false},
-      follower_{own_, make_follower_hooks()}, runner_ends_{[this](const runner_id& runner,
-                                                                  bool refused) {
+entry_daemon::entry_daemon(fleet_settings daemon_settings)
+    : settings_{std::move(daemon_settings)},
+      context_{.platform = installed_platform(),
+               .routes = nullptr,
+               .targets = target_set{settings_.failure_domain, random_seed()},
+               .budget = windowed_retry_budget{settings_.budget, steady_now()},
+               .pool = {},
+               .metrics = {},
+               .entry_daemons = 0, // unknown before the first update
+               .random = std::mt19937_64{random_seed()},
+               .demand = {},
+               .request_report_soon = {},
+               .crashes = {},
+               .check_runner_end = {},
+               .stopping = false},
+      follower_{settings_, make_follower_hooks()}, runner_ends_{[this](const runner_id& runner,
+                                                                       bool refused) {
           on_runner_end_checked(runner, refused);
       }},
       mesh_{[this](const wire::envelope& in) { follower_.receive(steady_now(), in); }},
@@ -66,14 +67,14 @@
 entry_daemon::~entry_daemon()
 {
     requests_.clear();
-    ended_.clear();
+    finished_requests_.clear();
 }
 
 fleet_follower::hooks entry_daemon::make_follower_hooks()
 {
     fleet_follower::hooks out;
     out.send = [this](const daemon_id& to, wire::envelope message) {
-        message.set_from(own_.address.str());
+        message.set_from(settings_.address.str());
         mesh_.add_peer(to);
         mesh_.send(to, message);
     };
@@ -91,9 +92,9 @@
 
 // --- start and stop -----------------------------------------------------------------------------
 
-std::unique_ptr<entry_daemon> entry_daemon::start(fleet_settings own, reason& why)
+std::unique_ptr<entry_daemon> entry_daemon::start(fleet_settings daemon_settings, reason& why)
 {
-    std::unique_ptr<entry_daemon> out{new entry_daemon{std::move(own)}};
+    std::unique_ptr<entry_daemon> out{new entry_daemon{std::move(daemon_settings)}};
     if (!out->open(why)) {
         return {};
     }
@@ -102,21 +103,22 @@
 
 bool entry_daemon::open(reason& why)
 {
-    if (!mesh_.start_open(own_.bind.value_or(own_.address), why) || !open_listeners(why)) {
+    if (!mesh_.start_open(settings_.bind.value_or(settings_.address), why) ||
+        !open_listeners(why)) {
         return false;
     }
-    reachability_.on_result = [this] { follower_.hurry(); };
-    context_.hurry_report = [this] { follower_.hurry(); };
+    reachability_.on_result = [this] { follower_.report_soon(); };
+    context_.request_report_soon = [this] { follower_.report_soon(); };
     context_.check_runner_end = [this](const runner_id& runner, const endpoint& address) {
         runner_ends_.check(runner, address);
     };
     QObject::connect(&timer_, &QTimer::timeout, [this] { tick(); });
-    timer_.start(tick_ms);
+    timer_.start(tick_interval_ms);
     log_line("started")
         .with("role", "entry")
-        .with("name", own_.name)
-        .with("failure_domain", own_.failure_domain.str())
-        .with("callers", own_.callers->str())
+        .with("name", settings_.name)
+        .with("failure_domain", settings_.failure_domain.str())
+        .with("callers", settings_.callers->str())
         .write();
     tick();
     return true;
@@ -130,15 +132,15 @@
             on_request(std::move(request), reply);
         });
     ready_listener_ = make_ready_listener([this] { return is_ready(); });
-    if (!callers_listener_->start(*own_.callers, why) ||
-        !ready_listener_->start(*own_.ready, why)) {
+    if (!callers_listener_->start(*settings_.callers, why) ||
+        !ready_listener_->start(*settings_.ready, why)) {
         return false;
     }
-    if (!own_.metrics) {
+    if (!settings_.metrics) {
         return true;
     }
     metrics_listener_ = make_metrics_listener([this] { return context_.metrics.text(); });
-    return metrics_listener_->start(*own_.metrics, why);
+    return metrics_listener_->start(*settings_.metrics, why);
 }
 
 bool entry_daemon::is_ready() const
@@ -159,12 +161,12 @@
 bool entry_daemon::is_stop_due(instant now)
 {
     const auto passed = now - stop_began_;
-    if (!closing_ && passed >= balancer_patience) {
+    if (!closing_ && passed >= balancer_removal_time) {
         closing_ = true;
         callers_listener_->stop();
     }
     const bool idle = closing_ && requests_.empty() && callers_listener_->connections() == 0;
-    return idle || passed >= own_.stop_bound - stop_margin;
+    return idle || passed >= settings_.stop_bound - stop_margin;
 }
 
 void entry_daemon::check_stop(instant now)
@@ -182,14 +184,14 @@
 void entry_daemon::tick()
 {
     const auto now = steady_now();
-    ended_.clear();
+    finished_requests_.clear();
     runner_ends_.clean_up();
     check_suspension(now);
     mesh_.drain();
     follower_.tick(now);
     mesh_.drain();
     context_.metrics.set_view(static_cast<double>(follower_.view().version()),
-                              now - follower_.heard());
+                              now - follower_.leader_active_at());
     context_.metrics.set_in_flight(static_cast<double>(requests_.size()));
     context_.metrics.set_rate_limited_runners(
         static_cast<double>(context_.targets.permits().count_limited()));
@@ -228,7 +230,7 @@
     const auto* accepted = view.configuration();
     if (accepted != nullptr && accepted->revision() > held &&
         accepted->revision() != unreadable_version_) {
-        take_configuration(*accepted);
+        install_configuration(*accepted);
     }
     auto content = decode(view.items());
     context_.targets.update(steady_now(), content);
@@ -244,7 +246,7 @@
         .write();
 }
 
-void entry_daemon::take_configuration(const wire::accepted_configuration& accepted)
+void entry_daemon::install_configuration(const wire::accepted_configuration& accepted)
 {
     reason why;
     const auto document = read_document(accepted);
@@ -299,7 +301,7 @@
     }
     context_.metrics.count_runner_end();
     log_runner_end(runner, seen);
-    follower_.hurry();
+    follower_.report_soon();
 }
 
 // --- requests -----------------------------------------------------------------------------------
@@ -309,7 +311,7 @@
     const auto next = std::make_shared<relay>(context_, std::move(request), reply,
                                               [this](const std::shared_ptr<relay>& ended) {
                                                   requests_.erase(ended);
-                                                  ended_.push_back(ended);
+                                                  finished_requests_.push_back(ended);
                                               });
     requests_.insert(next);
     next->start();
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -24,7 +24,7 @@
 class entry_daemon {
 public:
     /// Returns null and sets `why` if a listener can't be opened.
-    static std::unique_ptr<entry_daemon> start(fleet_settings own, reason& why);
+    static std::unique_ptr<entry_daemon> start(fleet_settings daemon_settings, reason& why);
     ~entry_daemon();
     entry_daemon(const entry_daemon&) = delete;
     entry_daemon& operator=(const entry_daemon&) = delete;
@@ -36,14 +36,14 @@
     [[nodiscard]] bool is_ready() const;
 
 private:
-    explicit entry_daemon(fleet_settings own);
+    explicit entry_daemon(fleet_settings daemon_settings);
     bool open(reason& why);
     void tick();
     void check_stop(instant now);
     /// If the machine was suspended, makes all requests check their deadlines again.
     void check_suspension(instant now);
     void on_view(view_copy::outcome outcome);
-    void take_configuration(const wire::accepted_configuration& accepted);
+    void install_configuration(const wire::accepted_configuration& accepted);
     [[nodiscard]] fleet_follower::hooks make_follower_hooks();
     [[nodiscard]] health_report make_report();
     void on_update(const wire::fleet_update& update);
@@ -52,14 +52,15 @@
     [[nodiscard]] bool is_stop_due(instant now);
     void on_request(http_request request, const std::shared_ptr<http_reply>& reply);
 
-    fleet_settings own_;
+    fleet_settings settings_;
     entry_context context_;
     fleet_follower follower_;
     reachability_checker reachability_;
     runner_end_checker runner_ends_;
     mesh mesh_;
     std::set<std::shared_ptr<relay>> requests_;
-    std::vector<std::shared_ptr<relay>> ended_; ///< kept until no member function of them runs
+    /// Kept until none of their member functions is on the call stack.
+    std::vector<std::shared_ptr<relay>> finished_requests_;
     std::unique_ptr<http_listener> callers_listener_;
     std::unique_ptr<http_listener> ready_listener_;
     std::unique_ptr<http_listener> metrics_listener_;
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -18,8 +18,8 @@
       first_byte_{registry_.add_histogram("cedarpoint_first_byte_seconds",
                                           "From arrival to the first event or the whole answer",
                                           latency_bounds)},
-      whole_{registry_.add_histogram("cedarpoint_request_seconds", "From arrival to the end",
-                                     latency_bounds)},
+      request_time_{registry_.add_histogram("cedarpoint_request_seconds", "From arrival to the end",
+                                            latency_bounds)},
       pause_{registry_.add_histogram("cedarpoint_event_pause_seconds", "Between two events",
                                      latency_bounds)},
       view_version_{registry_.add_gauge("cedarpoint_view_version", "Version of the view in use")},
@@ -79,9 +79,9 @@
     first_byte_.Observe(to_metric_seconds(since_arrival));
 }
 
-void entry_metrics::observe_whole(duration since_arrival)
+void entry_metrics::observe_request_time(duration since_arrival)
 {
-    whole_.Observe(to_metric_seconds(since_arrival));
+    request_time_.Observe(to_metric_seconds(since_arrival));
 }
 
 void entry_metrics::observe_pause(duration between_events)
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -18,7 +18,7 @@
     void count_end(const std::string& outcome, const std::string& cause);
     void count_attempt(const std::string& outcome);
     void observe_first_byte(duration since_arrival);
-    void observe_whole(duration since_arrival);
+    void observe_request_time(duration since_arrival);
     void observe_pause(duration between_events);
     /// `age`: time since the latest update from the leader.
     void set_view(double version, duration age);
@@ -45,7 +45,7 @@
     prometheus::Family<prometheus::Counter>& ends_;
     prometheus::Family<prometheus::Counter>& attempts_;
     prometheus::Histogram& first_byte_;
-    prometheus::Histogram& whole_;
+    prometheus::Histogram& request_time_;
     prometheus::Histogram& pause_;
     prometheus::Gauge& view_version_;
     prometheus::Gauge& view_age_;
@@ -59,8 +59,8 @@
     prometheus::Gauge& suspected_requests_;
     prometheus::Gauge& quarantined_requests_;
     prometheus::Counter& runner_ends_;
-    // Caches counters by label, because a family searches its labels at each call, which is too
-    // slow on the path of a request.
+    // Counters by label. Cached because a family searches its labels at each call, which costs time
+    // for every request.
     std::map<std::string, prometheus::Counter*> known_ends_;
     std::map<std::string, prometheus::Counter*> known_attempts_;
 };
--- a/src/entry/fleet_follower.cpp
+++ b/src/entry/fleet_follower.cpp
@@ -14,21 +14,21 @@
 constexpr duration first_report_interval = milliseconds{50};
 /// After this time without an answer from the leader, about four reports, reports go to all control
 /// daemons to find a leader.
-constexpr duration leader_silence = milliseconds{900};
+constexpr duration leader_timeout = milliseconds{900};
 
 } // namespace
 
-fleet_follower::fleet_follower(const fleet_settings& own, hooks hooks)
-    : hooks_{std::move(hooks)}, failure_domain_{own.failure_domain.str()}
+fleet_follower::fleet_follower(const fleet_settings& daemon_settings, hooks hooks)
+    : hooks_{std::move(hooks)}, failure_domain_{daemon_settings.failure_domain.str()}
 {
-    for (const auto& seed : own.seeds) {
-        control_daemons_.emplace(endpoint{seed.ip, own.address.port}.str());
+    for (const auto& seed : daemon_settings.seeds) {
+        control_daemons_.emplace(endpoint{seed.ip, daemon_settings.address.port}.str());
     }
 }
 
 bool fleet_follower::has_leader(instant now) const
 {
-    return !leader_.empty() && now - heard_ < leader_silence;
+    return !leader_.empty() && now - leader_active_at_ < leader_timeout;
 }
 
 void fleet_follower::tick(instant now)
@@ -72,16 +72,16 @@
         return;
     }
     const auto& update = in.update();
-    learn_control_daemons(update);
+    add_control_daemons(update);
     if (update.leading()) {
-        take_from_leader(now, daemon_id{in.from()}, update);
+        apply_from_leader(now, daemon_id{in.from()}, update);
     }
     else {
-        take_provisional(update);
+        apply_provisional(update);
     }
 }
 
-void fleet_follower::learn_control_daemons(const wire::fleet_update& update)
+void fleet_follower::add_control_daemons(const wire::fleet_update& update)
 {
     for (const auto& voter : update.voters()) {
         control_daemons_.emplace(voter);
@@ -91,8 +91,8 @@
     }
 }
 
-void fleet_follower::take_from_leader(instant now, const daemon_id& from,
-                                      const wire::fleet_update& update)
+void fleet_follower::apply_from_leader(instant now, const daemon_id& from,
+                                       const wire::fleet_update& update)
 {
     const auto outcome = view_.take(update);
     if (outcome == view_copy::outcome::stale) {
@@ -105,14 +105,15 @@
     // An update may have been queued while this machine was suspended. If it answers a report, its
     // stamp is the time of that report, and the leader is only known to have been active then.
     const instant asked_at{duration{update.stamp_us()}};
-    heard_ = std::max(heard_, update.stamp_us() == 0 || asked_at > now ? now : asked_at);
+    leader_active_at_ =
+        std::max(leader_active_at_, update.stamp_us() == 0 || asked_at > now ? now : asked_at);
     if (update.followers() > 0) {
         followers_ = update.followers();
     }
     hooks_.on_update(update);
     if (outcome == view_copy::outcome::gap) {
         if (!std::exchange(behind_, true)) {
-            hurry();
+            report_soon();
         }
         return;
     }
@@ -120,7 +121,7 @@
     hooks_.on_view(outcome);
 }
 
-void fleet_follower::take_provisional(const wire::fleet_update& update)
+void fleet_follower::apply_provisional(const wire::fleet_update& update)
 {
     // A leader's view takes precedence over a provisional one, at any age.
     if (!update.provisional() || view_.term() > 0) {
--- a/src/entry/fleet_follower.h
+++ b/src/entry/fleet_follower.h
@@ -30,31 +30,31 @@
         std::function<void(const daemon_id&, bool found)> on_leader;
     };
 
-    fleet_follower(const fleet_settings& own, hooks hooks);
+    fleet_follower(const fleet_settings& daemon_settings, hooks hooks);
 
     void tick(instant now);
     /// Sends a report with the next tick instead of at the end of the interval.
-    void hurry() { next_report_ = {}; }
+    void report_soon() { next_report_ = {}; }
     void receive(instant now, const wire::envelope& in);
 
     [[nodiscard]] const view_copy& view() const { return view_; }
     /// Returns how many entry daemons follow the leader, including this one; 0 while not known.
     [[nodiscard]] std::size_t followers() const { return followers_; }
     /// Returns the latest time at which the leader is known to have been active.
-    [[nodiscard]] instant heard() const { return heard_; }
+    [[nodiscard]] instant leader_active_at() const { return leader_active_at_; }
     [[nodiscard]] bool has_leader(instant now) const;
 
 private:
     void report_to(instant now, const daemon_id& to);
-    void take_provisional(const wire::fleet_update& update);
-    void take_from_leader(instant now, const daemon_id& from, const wire::fleet_update& update);
-    void learn_control_daemons(const wire::fleet_update& update);
+    void apply_provisional(const wire::fleet_update& update);
+    void apply_from_leader(instant now, const daemon_id& from, const wire::fleet_update& update);
+    void add_control_daemons(const wire::fleet_update& update);
 
     hooks hooks_;
     std::string failure_domain_;
     std::set<daemon_id> control_daemons_; ///< from the seeds and from updates
     daemon_id leader_;                    ///< empty while none is known
-    instant heard_;
+    instant leader_active_at_;
     instant next_report_;
     view_copy view_;
     bool behind_ = true;        ///< earlier updates are missing: the latest did not fit the copy
--- a/src/entry/own_answer.h
+++ b/src/entry/local_reply.h
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 
 /// The responses that an entry daemon generates itself instead of forwarding a runner's.
-enum class own_answer {
+enum class local_reply {
     no_configuration,
     no_route,
     unknown_key,
@@ -17,8 +17,8 @@
 };
 
 /// How such a response is written to the caller and to the log.
-struct own_answer_shape {
-    own_answer kind;
+struct local_reply_spec {
+    local_reply kind;
     int status;
     std::string_view wire_text; ///< the body's error text; must not change: callers may match it
     std::string_view log_cause;
@@ -26,8 +26,8 @@
 };
 
 /// Retry-After in seconds for a refusal that is likely to be short, such as lack of capacity.
-inline constexpr std::string_view retry_soon = "0.25";
+inline constexpr std::string_view short_retry_after = "0.25";
 
-[[nodiscard]] const own_answer_shape& shape_of(own_answer kind);
+[[nodiscard]] const local_reply_spec& spec_of(local_reply kind);
 
 } // namespace cedarpoint
--- a/src/entry/reachability_checker.cpp
+++ b/src/entry/reachability_checker.cpp
@@ -13,7 +13,7 @@
 
 reachability_checker::~reachability_checker() = default;
 
-bool reachability_checker::was_tried_lately(instant now, const runner_id& runner) const
+bool reachability_checker::was_tried_recently(instant now, const runner_id& runner) const
 {
     const auto found = attempts_.find(runner);
     return found != attempts_.end() &&
@@ -25,7 +25,7 @@
     std::set<runner_id> named;
     for (const auto& each : suspects) {
         named.insert(each.runner);
-        if (!was_tried_lately(now, each.runner)) {
+        if (!was_tried_recently(now, each.runner)) {
             begin(now, each);
         }
     }
--- a/src/entry/reachability_checker.h
+++ b/src/entry/reachability_checker.h
@@ -36,7 +36,7 @@
         instant begun;
         bool reachable = false;
     };
-    [[nodiscard]] bool was_tried_lately(instant now, const runner_id& runner) const;
+    [[nodiscard]] bool was_tried_recently(instant now, const runner_id& runner) const;
     void begin(instant now, const suspect& to);
 
     std::map<runner_id, attempt> attempts_;
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 /// A request with less time left than this is not sent, since no runner could answer in time.
-constexpr milliseconds shortest_attempt{15};
+constexpr milliseconds min_time_to_send{15};
 
 /// Longest idle time of a pooled connection that is reused for a request that may run only once.
 /// The longer a connection was idle, the likelier the runner closes it while the request is in
 /// transit, and such a request can't be retried.
-constexpr milliseconds longest_idle_for_once{1000};
+constexpr milliseconds longest_idle_if_not_repeatable{1000};
 /// The same limit for a request that can be retried.
-constexpr milliseconds longest_idle_for_repeatable{4000};
+constexpr milliseconds longest_idle_if_repeatable{4000};
 
 /// Bounds the memory of a stream: reading from the runner pauses when more than this many bytes are
 /// buffered for the caller, and resumes when less than half are.
-constexpr std::size_t slow_caller_bytes = 256 << 10;
+constexpr std::size_t max_stream_buffer_bytes = 256 << 10;
 
 std::optional<milliseconds> parse_milliseconds(std::string_view text)
 {
@@ -33,7 +33,7 @@
     return number ? std::optional{milliseconds{*number}} : std::nullopt;
 }
 
-const char* why_none(target_choice::outcome_t outcome)
+const char* no_target_reason(target_choice::outcome_t outcome)
 {
     switch (outcome) {
     case target_choice::outcome_t::paused:
@@ -47,15 +47,15 @@
     }
 }
 
-own_answer answer_for(admission_refusal why)
+local_reply local_reply_for(admission_refusal why)
 {
     switch (why) {
     case admission_refusal::no_route:
-        return own_answer::no_route;
+        return local_reply::no_route;
     case admission_refusal::unknown_key:
-        return own_answer::unknown_key;
+        return local_reply::unknown_key;
     default:
-        return own_answer::no_configuration;
+        return local_reply::no_configuration;
     }
 }
 
@@ -97,7 +97,7 @@
         return;
     }
     if (is_quarantined()) {
-        answer(own_answer::quarantined, "");
+        answer(local_reply::quarantined, "");
         return;
     }
     const auto now = steady_now();
@@ -130,7 +130,7 @@
 
 bool relay::has_time_to_send(instant now) const
 {
-    return admission_.deadline - now >= shortest_attempt;
+    return admission_.deadline - now >= min_time_to_send;
 }
 
 bool relay::is_admitted()
@@ -146,7 +146,7 @@
     in.patience = parse_milliseconds(fields.get(names.deadline_ms));
     admission_ = admit(arrived_, routes_.get(), in, draw(context_.random));
     if (admission_.refusal != admission_refusal::none) {
-        answer(answer_for(admission_.refusal), "");
+        answer(local_reply_for(admission_.refusal), "");
         return false;
     }
     facts_.repeat = admission_.route->repeat;
@@ -165,7 +165,7 @@
         if (choice.outcome == target_choice::outcome_t::paused) {
             pause_ends_ = choice.pause_ends;
         }
-        give_up(why_none(choice.outcome));
+        give_up(no_target_reason(choice.outcome));
         return;
     }
     if (!has_time_to_send(now)) {
@@ -191,17 +191,17 @@
 std::string relay::make_request(const runner_id& runner) const
 {
     const auto now = steady_now();
-    runner_request own;
-    own.time_left = std::chrono::duration_cast<milliseconds>(admission_.deadline - now);
-    own.expected_runner = runner;
-    own.resume_after = cursor_.last_id();
+    runner_request added;
+    added.time_left = std::chrono::duration_cast<milliseconds>(admission_.deadline - now);
+    added.expected_runner = runner;
+    added.resume_after = cursor_.last_id();
     if (admission_.account != nullptr) {
-        own.account = admission_.account->name;
+        added.account = admission_.account->name;
     }
     if (!admission_.model.empty()) {
-        own.priority = engine_priority(*admission_.route, admission_.account);
+        added.priority = engine_priority(*admission_.route, admission_.account);
     }
-    return serialize(request_, own, context_.platform.headers());
+    return serialize(request_, added, context_.platform.headers());
 }
 
 runner_attempt::options relay::make_options(const fleet_target& target) const
@@ -212,8 +212,9 @@
     out.id = id_;
     out.head_only = request_.method == "HEAD";
     out.expects_stream = is_stream();
-    out.continues_stream = begun_;
-    out.longest_idle = is_repeatable(facts_) ? longest_idle_for_repeatable : longest_idle_for_once;
+    out.continues_stream = stream_begun_;
+    out.longest_idle =
+        is_repeatable(facts_) ? longest_idle_if_repeatable : longest_idle_if_not_repeatable;
     out.first_event_limit = first_event_limit(route.target_latency);
     out.event_pause_limit = event_pause_limit(route.target_gap);
     return out;
@@ -226,8 +227,8 @@
     runner_attempt::handlers out;
     out.may_send = [this] { return has_time_to_send(steady_now()); };
     out.on_sent = [this] { ++facts_.sent; };
-    out.on_event = [this](std::string_view event) { return pass_on(event); };
-    out.on_events_passed = [this] { hold_back_if_slow(); };
+    out.on_event = [this](std::string_view event) { return forward_event(event); };
+    out.on_events_forwarded = [this] { apply_backpressure(); };
     out.on_stalled = [this] { on_stalled(); };
     out.on_end = [weak = weak_from_this()](const attempt_verdict& verdict) {
         if (const auto self = weak.lock()) {
@@ -237,14 +238,14 @@
     return out;
 }
 
-bool relay::pass_on(std::string_view event)
+bool relay::forward_event(std::string_view event)
 {
     if (!cursor_.advance(event)) {
         return false;
     }
     const auto now = steady_now();
-    if (!begun_) {
-        begun_ = true;
+    if (!stream_begun_) {
+        stream_begun_ = true;
         reply_->begin(without_hop_by_hop(attempt_->head()));
         context_.metrics.observe_first_byte(now - arrived_);
     }
@@ -256,9 +257,9 @@
     return true;
 }
 
-void relay::hold_back_if_slow()
+void relay::apply_backpressure()
 {
-    if (reply_->buffered() <= slow_caller_bytes || !attempt_->is_running()) {
+    if (reply_->buffered() <= max_stream_buffer_bytes || !attempt_->is_running()) {
         return;
     }
     attempt_->pause(true);
@@ -267,7 +268,7 @@
 
 void relay::on_drained()
 {
-    if (attempt_->is_running() && reply_->buffered() < slow_caller_bytes / 2) {
+    if (attempt_->is_running() && reply_->buffered() < max_stream_buffer_bytes / 2) {
         reply_->on_drained = nullptr;
         attempt_->pause(false);
     }
@@ -286,7 +287,7 @@
         return;
     }
     context_.targets.on_failure(now, attempt_->runner());
-    move_on("the stream stalled");
+    fail_over("the stream stalled");
 }
 
 void relay::on_targets_changed()
@@ -297,11 +298,11 @@
     const auto* target = context_.targets.find(attempt_->runner());
     const bool group_ended = target == nullptr || target->group != attempt_->group();
     if (group_ended && may_send_again(facts_, attempt_outcome::may_have_run)) {
-        move_on("its group has ended");
+        fail_over("its group has ended");
     }
 }
 
-void relay::move_on(const char* why)
+void relay::fail_over(const char* why)
 {
     const auto self = shared_from_this();
     abandon_attempt();
@@ -325,10 +326,10 @@
     const bool failed = verdict.outcome == attempt_outcome::client_error ||
                         verdict.outcome == attempt_outcome::server_error;
     if (failed) {
-        failure_ = attempt_->head();
-        failure_body_ = attempt_->body();
+        failed_answer_head_ = attempt_->head();
+        failed_answer_body_ = attempt_->body();
     }
-    note_end(verdict);
+    record_attempt_end(verdict);
     decide(verdict);
 }
 
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -5,7 +5,7 @@
 #include "cedarpoint/quarantine/request_fingerprint.h"
 #include "entry/entry_context.h"
 #include "entry/event_cursor.h"
-#include "entry/own_answer.h"
+#include "entry/local_reply.h"
 #include "entry/runner_attempt.h"
 #include "io/http_listener.h"
 
@@ -37,8 +37,8 @@
     relay& operator=(const relay&) = delete;
 
     void start();
-    /// Called when the view has changed. If the group of this stream is no longer in the view,
-    /// resumes the stream at another runner at once.
+    /// Called when the view has changed. If the group that is answering is no longer in the view,
+    /// retries at another runner at once, if that is allowed.
     void on_targets_changed();
     /// Called after the machine was suspended: the deadline timer does not count that time, so it
     /// would expire late.
@@ -53,19 +53,19 @@
     void send_to(const fleet_target& target);
     [[nodiscard]] runner_attempt::options make_options(const fleet_target& target) const;
     [[nodiscard]] runner_attempt::handlers make_handlers();
-    [[nodiscard]] bool pass_on(std::string_view event);
-    void hold_back_if_slow();
+    [[nodiscard]] bool forward_event(std::string_view event);
+    void apply_backpressure();
     void on_drained();
     void on_attempt_end(const attempt_verdict& verdict);
     /// Records for crash detection how the attempt ended.
-    void note_end(const attempt_verdict& verdict);
+    void record_attempt_end(const attempt_verdict& verdict);
     [[nodiscard]] const request_fingerprint& fingerprint();
     [[nodiscard]] bool is_quarantined();
     /// Returns true if the request must not be retried because it may crash another runner.
     [[nodiscard]] bool may_end_more_runners(attempt_outcome outcome);
     void on_stalled();
     /// Cancels the current attempt and retries at another runner if that is allowed.
-    void move_on(const char* why);
+    void fail_over(const char* why);
     void abandon_attempt();
     void decide(const attempt_verdict& verdict);
 
@@ -73,9 +73,9 @@
     void give_up(const std::string& why);
     void pass_failure(const std::string& why);
     void break_off(const std::string& why);
-    void answer(own_answer kind, const std::string& why);
+    void answer(local_reply kind, const std::string& why);
     /// Returns the value of Retry-After; empty if the answer has none.
-    [[nodiscard]] std::string retry_after(const own_answer_shape& shape);
+    [[nodiscard]] std::string retry_after(const local_reply_spec& spec);
     void on_caller_gone();
     void on_deadline();
     void finish(const char* outcome, std::string_view cause);
@@ -96,10 +96,10 @@
     std::optional<instant> pause_ends_;       ///< set only if all targets are paused
     std::shared_ptr<runner_attempt> attempt_; ///< the latest; null before the first
     event_cursor cursor_;
-    bool begun_ = false; ///< the head of a stream was sent to the caller
+    bool stream_begun_ = false; ///< the head of a stream was sent to the caller
     instant latest_event_at_;
-    std::optional<http_head> failure_; ///< head of the latest complete answer with a 4xx or 5xx
-    std::string failure_body_;
+    std::optional<http_head> failed_answer_head_; ///< of the latest complete 4xx or 5xx answer
+    std::string failed_answer_body_;
     QTimer deadline_timer_;
     bool ended_ = false;
 };
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -18,30 +18,30 @@
 
 /// Upper bound in seconds of the random time that is added to Retry-After for callers refused
 /// during a pause, so that they don't all retry at the moment when it ends.
-constexpr double longest_spread_s = 0.5;
+constexpr double max_retry_spread_s = 0.5;
 
 } // namespace
 
 void relay::deliver()
 {
     const auto since_arrival = steady_now() - arrived_;
-    if (begun_) {
+    if (stream_begun_) {
         reply_->finish();
     }
     else {
         reply_->send(without_hop_by_hop(attempt_->head()), attempt_->body());
         context_.metrics.observe_first_byte(since_arrival);
     }
-    context_.metrics.observe_whole(since_arrival);
+    context_.metrics.observe_request_time(since_arrival);
     finish("served", "");
 }
 
 void relay::give_up(const std::string& why)
 {
     give_up_facts known;
-    known.has_begun = begun_;
-    known.has_failure = failure_.has_value();
-    known.failure_status = failure_ ? failure_->status : 0;
+    known.has_begun = stream_begun_;
+    known.has_failure = failed_answer_head_.has_value();
+    known.failure_status = failed_answer_head_ ? failed_answer_head_->status : 0;
     known.may_have_run = facts_.may_have_run;
     known.is_repeatable = is_repeatable(facts_);
     switch (choose_final_answer(known)) {
@@ -55,24 +55,24 @@
         if (!admission_.model.empty()) {
             ++context_.demand[admission_.model].rejected;
         }
-        answer(own_answer::not_run, why);
+        answer(local_reply::not_run, why);
         return;
     case final_answer::unknown:
-        answer(own_answer::outcome_unknown, why);
+        answer(local_reply::outcome_unknown, why);
         return;
     }
 }
 
 void relay::pass_failure(const std::string& why)
 {
-    auto head = without_hop_by_hop(*failure_);
+    auto head = without_hop_by_hop(*failed_answer_head_);
     if (head.status == http_status::service_unavailable && head.fields.has(retry_after_field)) {
         // The runner's pause applies only to this daemon; other entry daemons may serve the caller
         // sooner.
         head = without_field(head, retry_after_field);
-        head.fields.add(retry_after_field, std::string{retry_soon});
+        head.fields.add(retry_after_field, std::string{short_retry_after});
     }
-    reply_->send(std::move(head), failure_body_);
+    reply_->send(std::move(head), failed_answer_body_);
     finish("failed_at_runner", why);
 }
 
@@ -82,27 +82,27 @@
     finish("broken_off", why);
 }
 
-void relay::answer(own_answer kind, const std::string& why)
+void relay::answer(local_reply kind, const std::string& why)
 {
-    const auto& shape = shape_of(kind);
-    http_head head{shape.status, {}};
+    const auto& spec = spec_of(kind);
+    http_head head{spec.status, {}};
     head.fields.add(context_.platform.headers().request_id, id_);
     head.fields.add("Content-Type", "application/json");
-    if (auto value = retry_after(shape); !value.empty()) {
+    if (auto value = retry_after(spec); !value.empty()) {
         head.fields.add(retry_after_field, std::move(value));
     }
-    reply_->send(std::move(head), fmt::format("{{\"error\":\"{}\"}}", shape.wire_text));
-    const bool refused = shape.status == http_status::service_unavailable ||
-                         shape.status == http_status::too_many_requests;
-    finish(refused ? "refused" : "rejected", why.empty() ? shape.log_cause : why);
+    reply_->send(std::move(head), fmt::format("{{\"error\":\"{}\"}}", spec.wire_text));
+    const bool refused = spec.status == http_status::service_unavailable ||
+                         spec.status == http_status::too_many_requests;
+    finish(refused ? "refused" : "rejected", why.empty() ? spec.log_cause : why);
 }
 
-std::string relay::retry_after(const own_answer_shape& shape)
+std::string relay::retry_after(const local_reply_spec& spec)
 {
-    if (shape.kind != own_answer::not_run || !pause_ends_) {
-        return std::string{shape.retry_after};
+    if (spec.kind != local_reply::not_run || !pause_ends_) {
+        return std::string{spec.retry_after};
     }
-    std::uniform_real_distribution<double> spread{0, longest_spread_s};
+    std::uniform_real_distribution<double> spread{0, max_retry_spread_s};
     const std::chrono::duration<double> left = *pause_ends_ - steady_now();
     return fmt::format("{:.3f}", std::max(left.count(), 0.0) + spread(context_.random));
 }
@@ -124,11 +124,11 @@
     }
     const auto self = shared_from_this();
     abandon_attempt();
-    if (begun_) {
+    if (stream_begun_) {
         break_off("deadline exceeded");
     }
     else {
-        answer(facts_.may_have_run ? own_answer::expired : own_answer::expired_unrun, "");
+        answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_unrun, "");
     }
 }
 
--- a/src/entry/relay_quarantine.cpp
+++ b/src/entry/relay_quarantine.cpp
@@ -38,7 +38,7 @@
     return context_.crashes.is_watching() && !context_.crashes.may_retry(fingerprint());
 }
 
-void relay::note_end(const attempt_verdict& verdict)
+void relay::record_attempt_end(const attempt_verdict& verdict)
 {
     auto& crashes = context_.crashes;
     const auto now = steady_now();
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -12,7 +12,7 @@
 runner_attempt::runner_attempt(entry_context& context, const fleet_target& target, options options,
                                handlers handlers)
     : context_{context}, address_{target.address}, runner_{target.runner}, life_{target.life},
-      group_{target.group}, of_group_{!target.model.empty()}, options_{std::move(options)},
+      group_{target.group}, is_group_head_{!target.model.empty()}, options_{std::move(options)},
       handlers_{std::move(handlers)}
 {
     stall_timer_.setSingleShot(true);
@@ -89,7 +89,7 @@
 
 bool runner_attempt::on_connected()
 {
-    const auto why = why_not_now(steady_now());
+    const auto why = send_obstacle(steady_now());
     if (why.empty()) {
         return true;
     }
@@ -98,7 +98,7 @@
     return false;
 }
 
-std::string_view runner_attempt::why_not_now(instant now)
+std::string_view runner_attempt::send_obstacle(instant now)
 {
     if (!handlers_.may_send()) {
         return "too little time is left";
@@ -133,12 +133,12 @@
     const auto now = steady_now();
     context_.targets.on_byte(now, runner_);
     head_ = head;
-    note_signals(now);
+    record_signals(now);
     streaming_ = options_.expects_stream && head.status == http_status::ok &&
                  is_event_stream(head) && is_authentic(head);
 }
 
-void runner_attempt::note_signals(instant now)
+void runner_attempt::record_signals(instant now)
 {
     const auto& names = context_.platform.headers();
     const auto& fields = head_->fields;
@@ -153,18 +153,19 @@
         holds.on_pause(now, runner_, life_, signals_.pause.time);
     }
     signal_news news;
-    news.rate_limit = note_rate_limit(now);
+    news.rate_limit = record_rate_limit(now);
     news.leave = signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, life_);
     log_signals(runner_, signals_, news, options_.id);
     if (news.rate_limit || news.leave) {
-        context_.hurry_report(); // other daemons send there until the leader publishes the change
+        // Other daemons go on sending there until the leader publishes the change.
+        context_.request_report_soon();
     }
     if (signals_.has_unreadable()) {
         context_.metrics.count_unreadable_signal();
     }
 }
 
-bool runner_attempt::note_rate_limit(instant now)
+bool runner_attempt::record_rate_limit(instant now)
 {
     const bool is_named = signals_.rate_limit.kind != rate_limit_reading::kind_t::absent;
     if (!is_named && !is_authentic(*head_)) {
@@ -194,7 +195,7 @@
             {attempt_outcome::may_have_run, target_effect::none, "an event is too large"});
         return;
     }
-    handlers_.on_events_passed();
+    handlers_.on_events_forwarded();
 }
 
 void runner_attempt::on_event(std::string_view event)
@@ -219,7 +220,7 @@
 {
     release();
     const auto verdict = judge(how, why);
-    note(verdict);
+    record_effect(verdict);
     handlers_.on_end(verdict);
 }
 
@@ -254,7 +255,7 @@
     return judge_answer(facts);
 }
 
-void runner_attempt::note(const attempt_verdict& verdict)
+void runner_attempt::record_effect(const attempt_verdict& verdict)
 {
     const auto now = steady_now();
     if (verdict.effect == target_effect::failure) {
@@ -263,7 +264,7 @@
     if (verdict.effect == target_effect::success) {
         context_.targets.on_success(runner_);
         // Response time of a plain runner. Heads of groups are measured by the pauses of streams.
-        if (!streaming_ && !of_group_) {
+        if (!streaming_ && !is_group_head_) {
             context_.targets.on_wait(runner_, now - *sent_at_);
         }
     }
--- a/src/entry/runner_attempt.h
+++ b/src/entry/runner_attempt.h
@@ -41,8 +41,8 @@
         std::function<void()> on_sent;
         /// Called with each complete event of a stream. Returns false if it was not forwarded.
         std::function<bool(std::string_view)> on_event;
-        std::function<void()> on_events_passed; ///< called after all events of one read
-        std::function<void()> on_stalled;       ///< the attempt continues unless it is cancelled
+        std::function<void()> on_events_forwarded; ///< called after all events of one read
+        std::function<void()> on_stalled;          ///< the attempt continues unless it is cancelled
         std::function<void(const attempt_verdict&)> on_end;
     };
 
@@ -82,7 +82,7 @@
     /// Returns false if the request may no longer be sent; the attempt has then ended.
     [[nodiscard]] bool on_connected();
     /// Returns why the request may not be sent now; empty if it may.
-    [[nodiscard]] std::string_view why_not_now(instant now);
+    [[nodiscard]] std::string_view send_obstacle(instant now);
     void on_sent();
     void on_head(const http_head& head);
     void on_body(const std::string& bytes);
@@ -92,11 +92,11 @@
     [[nodiscard]] attempt_verdict judge(exchange_end how, const reason& why);
     [[nodiscard]] attempt_verdict judge_complete() const;
     [[nodiscard]] bool is_authentic(const http_head& head) const;
-    void note(const attempt_verdict& verdict);
+    void record_effect(const attempt_verdict& verdict);
     /// Records the signals in the answer's head: rate limit, pause and leave.
-    void note_signals(instant now);
+    void record_signals(instant now);
     /// Returns true if the answer changes whether the runner is rate limited, or its rate.
-    bool note_rate_limit(instant now);
+    bool record_rate_limit(instant now);
     void count_held_send(instant now);
     void arm_stall_timer(milliseconds limit);
     void release();
@@ -106,7 +106,7 @@
     runner_id runner_;
     birth life_; ///< the runner's start time, from the view at the beginning of the attempt
     group_id group_;
-    bool of_group_;
+    bool is_group_head_;
     options options_;
     handlers handlers_;
     runner_connection* connection_ = nullptr; ///< null before the start and after the end
--- a/src/entry/runner_request.cpp
+++ b/src/entry/runner_request.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-std::string serialize(const http_request& from, const runner_request& own,
+std::string serialize(const http_request& from, const runner_request& added,
                       const header_names& names)
 {
     std::string out = from.method + " " + from.target + " HTTP/1.1\r\n";
@@ -40,16 +40,16 @@
             add(out, name, value);
         }
     }
-    add(out, names.deadline_ms, std::to_string(own.time_left.count()));
-    add(out, names.expected_runner, own.expected_runner.str());
-    if (own.account) {
-        add(out, names.account, own.account->str());
+    add(out, names.deadline_ms, std::to_string(added.time_left.count()));
+    add(out, names.expected_runner, added.expected_runner.str());
+    if (added.account) {
+        add(out, names.account, added.account->str());
     }
-    if (own.priority) {
-        add(out, names.priority, std::to_string(*own.priority));
+    if (added.priority) {
+        add(out, names.priority, std::to_string(*added.priority));
     }
-    if (!own.resume_after.empty()) {
-        add(out, names.resume_after, own.resume_after);
+    if (!added.resume_after.empty()) {
+        add(out, names.resume_after, added.resume_after);
     }
     if (!has_no_body(from)) {
         add(out, "Content-Length", std::to_string(from.body.size()));
--- a/src/entry/runner_request.h
+++ b/src/entry/runner_request.h
@@ -21,7 +21,7 @@
 
 /// Serializes a caller's request for a runner. Method, target and body are unchanged; the caller's
 /// hop-by-hop headers and its key are removed.
-[[nodiscard]] std::string serialize(const http_request& from, const runner_request& own,
+[[nodiscard]] std::string serialize(const http_request& from, const runner_request& added,
                                     const header_names& names);
 
 } // namespace cedarpoint
--- a/tests/entry/event_cursor_test.cpp
+++ b/tests/entry/event_cursor_test.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-TEST(an_event, is_passed_on_once)
+TEST(an_event, is_forwarded_once)
 {
     event_cursor cursor{""};
     EXPECT_TRUE(cursor.advance("id: 1\ndata: a\n\n"));
@@ -16,7 +16,7 @@
     EXPECT_TRUE(cursor.advance("id: 3\ndata: c\n\n"));
 }
 
-TEST(an_event, that_the_caller_says_it_has_is_not_passed_on)
+TEST(an_event, that_the_caller_reports_as_received_is_not_forwarded)
 {
     event_cursor cursor{"12"};
     EXPECT_EQ(cursor.last_id(), "12");
@@ -24,7 +24,7 @@
     EXPECT_TRUE(cursor.advance("id: 13\ndata: b\n\n"));
 }
 
-TEST(an_event, without_a_number_is_always_passed_on)
+TEST(an_event, without_a_numeric_id_is_always_forwarded)
 {
     event_cursor cursor{"5"};
     EXPECT_TRUE(cursor.advance("data: no id\n\n"));
--- a/tests/entry/runner_request_test.cpp
+++ b/tests/entry/runner_request_test.cpp
@@ -1,6 +1,6 @@
 // How a caller's request is serialized for a runner, and the responses that the daemon generates.
 
-#include "entry/own_answer.h"
+#include "entry/local_reply.h"
 #include "entry/runner_request.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     return out;
 }
 
-runner_request own_part()
+runner_request daemon_headers()
 {
     runner_request out;
     out.time_left = milliseconds{1500};
@@ -30,13 +30,13 @@
     return out;
 }
 
-TEST(a_request_to_a_runner, is_the_callers_but_for_what_the_daemon_writes)
+TEST(a_request_to_a_runner, equals_the_callers_except_for_headers_that_the_daemon_sets)
 {
-    auto own = own_part();
-    own.account = client_account_id{"till"};
-    own.priority = 3;
-    own.resume_after = "12";
-    EXPECT_EQ(serialize(from_caller(), own, installed_platform().headers()),
+    auto added = daemon_headers();
+    added.account = client_account_id{"till"};
+    added.priority = 3;
+    added.resume_after = "12";
+    EXPECT_EQ(serialize(from_caller(), added, installed_platform().headers()),
               "POST /ask/x?q=1 HTTP/1.1\r\n"
               "Host: h.example\r\n"
               "X-Cedarpoint-Request-Id: r1\r\n"
@@ -56,37 +56,39 @@
     const auto& names = installed_platform().headers();
     auto request = from_caller();
     request.body.clear();
-    EXPECT_NE(serialize(request, own_part(), names).find("Content-Length: 0"), std::string::npos);
+    EXPECT_NE(serialize(request, daemon_headers(), names).find("Content-Length: 0"),
+              std::string::npos);
     request.method = "GET";
-    EXPECT_EQ(serialize(request, own_part(), names).find("Content-Length"), std::string::npos);
+    EXPECT_EQ(serialize(request, daemon_headers(), names).find("Content-Length"),
+              std::string::npos);
 }
 
-TEST(an_answer_of_the_daemon, invites_a_retry_only_where_nothing_has_run)
+TEST(a_local_reply, invites_a_retry_only_if_the_request_has_not_run)
 {
     for (const auto kind :
-         {own_answer::no_configuration, own_answer::not_run, own_answer::expired_unrun}) {
-        EXPECT_EQ(shape_of(kind).status, 503);
-        EXPECT_FALSE(shape_of(kind).retry_after.empty());
+         {local_reply::no_configuration, local_reply::not_run, local_reply::expired_unrun}) {
+        EXPECT_EQ(spec_of(kind).status, 503);
+        EXPECT_FALSE(spec_of(kind).retry_after.empty());
     }
-    for (const auto kind : {own_answer::no_route, own_answer::unknown_key,
-                            own_answer::outcome_unknown, own_answer::expired}) {
-        EXPECT_NE(shape_of(kind).status, 503);
-        EXPECT_TRUE(shape_of(kind).retry_after.empty());
+    for (const auto kind : {local_reply::no_route, local_reply::unknown_key,
+                            local_reply::outcome_unknown, local_reply::expired}) {
+        EXPECT_NE(spec_of(kind).status, 503);
+        EXPECT_TRUE(spec_of(kind).retry_after.empty());
     }
 }
 
-TEST(an_answer_of_the_daemon, tells_a_quarantined_request_from_a_service_without_room)
+TEST(a_local_reply, distinguishes_a_quarantined_request_from_a_service_without_capacity)
 {
-    const auto& shape = shape_of(own_answer::quarantined);
-    EXPECT_EQ(shape.status, 429);
-    EXPECT_NE(shape.wire_text.find("this request"), std::string_view::npos);
-    EXPECT_GT(std::stoi(std::string{shape.retry_after}), 60);
+    const auto& spec = spec_of(local_reply::quarantined);
+    EXPECT_EQ(spec.status, 429);
+    EXPECT_NE(spec.wire_text.find("this request"), std::string_view::npos);
+    EXPECT_GT(std::stoi(std::string{spec.retry_after}), 60);
 }
 
-TEST(an_answer_of_the_daemon, stands_in_its_table_under_its_own_kind)
+TEST(a_local_reply, is_found_in_the_table_under_its_kind)
 {
-    for (int kind = 0; kind <= static_cast<int>(own_answer::quarantined); ++kind) {
-        EXPECT_EQ(shape_of(static_cast<own_answer>(kind)).kind, static_cast<own_answer>(kind));
+    for (int kind = 0; kind <= static_cast<int>(local_reply::quarantined); ++kind) {
+        EXPECT_EQ(spec_of(static_cast<local_reply>(kind)).kind, static_cast<local_reply>(kind));
     }
 }
 
