--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -10,12 +10,12 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two refreshes of the view while nothing pushes it sooner.
+/// Time between two refreshes of the view. A commit refreshes it at once.
 constexpr duration refresh_interval = milliseconds{40};
-/// Time between two lines that sum up the plan, and two updates of the metrics on it.
+/// Time between two summaries of the plan in the log and in the metrics.
 constexpr duration summary_interval = seconds{1};
-/// The process's exit code once its state can't be used any more: docs/OPERATIONS.md.
-constexpr int disk_failed_exit = 5;
+/// Exit code after a failure of the replicated log's storage; see docs/OPERATIONS.md.
+constexpr int disk_failure_exit_code = 5;
 
 } // namespace
 
@@ -41,25 +41,26 @@
     if (!address || leader == id_.str()) {
         return {};
     }
-    return endpoint{address->ip, own_.control->port}; // the port is the same on all of them
+    return endpoint{address->ip, settings_.control->port}; // all control daemons use the same port
 }
 
 void control_daemon::tick()
 {
     mesh_.drain();
     log_->tick(steady_now());
-    const auto now = steady_now(); // the log may have waited for its disk, longer than a lease
+    // Read the clock again: a slow disk may have blocked the log for longer than a lease.
+    const auto now = steady_now();
     disk_.note(log_->refused_write());
     metrics_.set_disk_refuses(disk_.refuses());
-    if (!can_go_on()) {
+    if (!check_log()) {
         return;
     }
-    note_leader();
+    track_leader();
     membership_->tick(now, leads(now));
     metrics_.set_leader(leads(now));
     metrics_.set_version(static_cast<double>(state_.version()));
     if (leads(now)) {
-        lead(now);
+        tick_leader(now);
     }
     else {
         orders_->cancel_all();
@@ -71,7 +72,7 @@
     mesh_.drain();
 }
 
-bool control_daemon::can_go_on()
+bool control_daemon::check_log()
 {
     const auto& failure = log_->failure();
     if (!failure) {
@@ -79,16 +80,16 @@
     }
     log_line("disk_failed").with("reason", failure->str()).write();
     timer_.stop();
-    on_stopped(disk_failed_exit);
+    on_stopped(disk_failure_exit_code);
     return false;
 }
 
-void control_daemon::note_leader()
+void control_daemon::track_leader()
 {
     const daemon_id leader{log_->raft().leader().str()};
     if (leader.empty()) {
         const auto now = steady_now();
-        elections_.note(now, log_->raft().elections(now));
+        elections_.write_if_due(now, log_->raft().elections(now));
     }
     else {
         elections_.on_leader();
@@ -104,7 +105,7 @@
     known_leader_ = leader;
 }
 
-void control_daemon::lead(instant now)
+void control_daemon::tick_leader(instant now)
 {
     const auto term = log_->raft().term();
     if (led_term_ != term) {
@@ -113,7 +114,7 @@
         log_line("leading").with("term", term).with("version", state_.version()).write();
     }
     for (const auto& step : leader_.tick(now)) {
-        carry_out(now, step);
+        execute(now, step);
     }
     drop_lost_followers(now);
     if (now >= next_refresh_) {
@@ -121,7 +122,7 @@
     }
 }
 
-void control_daemon::carry_out(instant now, const planner_step& step)
+void control_daemon::execute(instant now, const planner_step& step)
 {
     if (step.kind == planner_step::kind_t::record) {
         log_->propose(now, step.command, {});
@@ -160,7 +161,7 @@
     const bool leading = leads(now);
     std::map<plan_phase, double> groups;
     for (const auto phase : plan_phases) {
-        groups[phase] = 0; // also once this daemon leads no more
+        groups[phase] = 0; // reported for phases without groups, and for all while not leading
     }
     if (leading) {
         for (const auto& [name, group] : leader_.planner().groups()) {
@@ -190,7 +191,7 @@
 {
     const auto now = steady_now();
     if (log_ == nullptr) {
-        return; // still starting
+        return; // start-up has not finished
     }
     if (in.has_join()) {
         membership_->on_join(now, leads(now), in);
@@ -244,7 +245,7 @@
 
 void control_daemon::on_probe_failed(const runner_id& runner, probe_failure how)
 {
-    // The event is called as it was before probes had their name: operators search for it.
+    // The event keeps the name that it had before probes were called so: operators search for it.
     log_line("look_failed").with("runner", runner.str()).with("how", name_of(how)).write();
     if (how == probe_failure::other_runner) {
         leader_.on_other_runner(runner);
--- a/src/control_daemon/control_daemon.h
+++ b/src/control_daemon/control_daemon.h
@@ -5,7 +5,7 @@
 #include "cedarpoint/fleet/fleet_leader.h"
 #include "control_daemon/control_api.h"
 #include "control_daemon/control_metrics.h"
-#include "control_daemon/election_log.h"
+#include "control_daemon/election_logger.h"
 #include "control_daemon/log_membership.h"
 #include "control_daemon/provisional_views.h"
 #include "control_daemon/runner_orders.h"
@@ -23,13 +23,13 @@
 
 namespace cedarpoint {
 
-/// A control daemon: the sockets, files and timers round a voter of the replicated log and, while
-/// it leads, round `fleet_leader`. Passes messages on, carries out the planner's steps, and pushes
-/// the view to entry daemons.
+/// A control daemon: owns the sockets, files and timers that drive a member of the replicated log
+/// and, while it leads, `fleet_leader`. Dispatches messages, executes the planner's steps, and
+/// pushes the view to entry daemons.
 class control_daemon {
 public:
-    /// Empty with `why` if a listener or the data folder can't be had.
-    static std::unique_ptr<control_daemon> start(fleet_settings own, reason& why);
+    /// Returns null and sets `why` if a listener or the data folder can't be opened.
+    static std::unique_ptr<control_daemon> start(fleet_settings daemon_settings, reason& why);
     ~control_daemon();
     control_daemon(const control_daemon&) = delete;
     control_daemon& operator=(const control_daemon&) = delete;
@@ -40,7 +40,7 @@
 private:
     using reply_ptr = std::shared_ptr<http_reply>;
 
-    explicit control_daemon(fleet_settings own);
+    explicit control_daemon(fleet_settings daemon_settings);
     bool open(reason& why);
     bool open_log(reason& why);
     bool open_listeners(reason& why);
@@ -49,15 +49,14 @@
     [[nodiscard]] replicated_log::options make_log_options() const;
 
     void tick();
-    /// Tells the log and the metrics when the disk begins or ceases to refuse writes.
-    /// False once the replicated log can't go on: the process ends.
-    bool can_go_on();
-    void note_leader();
-    void lead(instant now);
-    void carry_out(instant now, const planner_step& step);
+    /// Returns false once the replicated log has failed; logs the failure and stops the process.
+    bool check_log();
+    void track_leader();
+    void tick_leader(instant now);
+    void execute(instant now, const planner_step& step);
     void drop_lost_followers(instant now);
     void push_view(instant now);
-    /// Logs what there is and what is wanted, and sets the metrics on it.
+    /// Logs a summary of the plan and updates the metrics on it.
     void summarize(instant now);
 
     void receive(const wire::envelope& in);
@@ -66,15 +65,15 @@
     void on_probe_failed(const runner_id& runner, probe_failure how);
     bool send(const daemon_id& to, wire::envelope out);
 
-    /// True while this daemon holds the leader's lease.
+    /// Returns true while this daemon holds the leader's lease.
     [[nodiscard]] bool leads(instant now) const;
-    /// True once it has also begun the term as the fleet's leader.
+    /// Returns true if, in addition, `fleet_leader` has begun the current term.
     [[nodiscard]] bool has_begun_to_lead(instant now) const;
     [[nodiscard]] bool is_ready(instant now) const;
-    /// Where the leader takes calls; empty if none is known, or this daemon is it.
+    /// Returns the API address of the leader; empty if none is known or this daemon leads.
     [[nodiscard]] std::optional<endpoint> leader_api() const;
 
-    fleet_settings own_;
+    fleet_settings settings_;
     daemon_id id_;
     const platform_adapter& platform_;
     posix_file_system files_;
@@ -90,9 +89,9 @@
     std::unique_ptr<http_listener> api_listener_;
     std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
-    std::uint64_t led_term_ = 0; ///< the term that this process leads or led last
+    std::uint64_t led_term_ = 0; ///< the latest term in which this process led; 0: none
     disk_watch disk_;
-    election_log elections_;
+    election_logger elections_;
     daemon_id known_leader_;
     instant next_refresh_;
     instant next_summary_;
--- a/src/control_daemon/election_log.cpp
+++ b/src/control_daemon/election_logger.cpp
@@ -1,4 +1,4 @@
-#include "control_daemon/election_log.h"
+#include "control_daemon/election_logger.h"
 
 #include "io/log_line.h"
 
@@ -16,8 +16,8 @@
     const auto& contact = in.contact;
     const auto heard =
         contact.heard ? fmt::format("{} ms ago", to_ms(now - *contact.heard)) : "never";
-    return fmt::format("{}{}: heard {}, sent {}, without connection {}, votes asked {} granted {} "
-                       "refused {}, asked by it {} latest {}",
+    return fmt::format("{}{}: last message {}, sent {}, dropped without connection {}, votes "
+                       "requested {} granted {} refused {}, requested by peer {} latest reply {}",
                        in.member.str(), in.voter ? "" : " (learner)", heard, sent, dropped,
                        contact.votes_asked, contact.votes_granted, contact.votes_refused,
                        contact.votes_taken, name_of(contact.latest_answer));
@@ -25,13 +25,13 @@
 
 } // namespace
 
-void election_log::on_message(const member_id& to, bool sent)
+void election_logger::on_message(const member_id& to, bool sent)
 {
-    auto& own = traffic_[to];
-    ++(sent ? own.sent : own.dropped);
+    auto& traffic_to_peer = traffic_[to];
+    ++(sent ? traffic_to_peer.sent : traffic_to_peer.dropped);
 }
 
-void election_log::note(instant now, const election_status& status)
+void election_logger::write_if_due(instant now, const election_status& status)
 {
     if (!leaderless_since_) {
         leaderless_since_ = now;
@@ -44,8 +44,9 @@
     next_line_ = now + line_interval;
     std::string peers;
     for (const auto& each : status.peers) {
-        const auto& own = traffic_[each.member];
-        peers += (peers.empty() ? "" : "; ") + describe(now, each, own.sent, own.dropped);
+        const auto& traffic_to_peer = traffic_[each.member];
+        peers += (peers.empty() ? "" : "; ") +
+                 describe(now, each, traffic_to_peer.sent, traffic_to_peer.dropped);
     }
     traffic_.clear();
     log_line("no_leader")
--- a/src/entry/entry_daemon.h
+++ b/src/entry/entry_daemon.h
@@ -19,30 +19,31 @@
 
 namespace cedarpoint {
 
-/// An entry daemon: takes callers' requests and follows the control daemons. Has no disk. The
-/// sockets and timers round `relay`, one for each request, and `fleet_follower`.
+/// An entry daemon: accepts callers' requests and follows the control daemons. Stores nothing on
+/// disk. Owns the sockets and timers that drive one `relay` for each request and `fleet_follower`.
 class entry_daemon {
 public:
-    /// Empty with `why` if a listener can't be had.
-    static std::unique_ptr<entry_daemon> start(fleet_settings own, reason& why);
+    /// Returns null and sets `why` if a listener can't be opened.
+    static std::unique_ptr<entry_daemon> start(fleet_settings daemon_settings, reason& why);
     ~entry_daemon();
     entry_daemon(const entry_daemon&) = delete;
     entry_daemon& operator=(const entry_daemon&) = delete;
 
-    /// A planned stop: not ready at once, still serving while callers may come, then gone.
+    /// Begins a planned stop: reports not ready at once, serves requests until the load balancer
+    /// has removed this daemon, and then calls `on_stopped`.
     void stop();
     std::function<void()> on_stopped;
     [[nodiscard]] bool is_ready() const;
 
 private:
-    explicit entry_daemon(fleet_settings own);
+    explicit entry_daemon(fleet_settings daemon_settings);
     bool open(reason& why);
     void tick();
     void check_stop(instant now);
-    /// Lets requests look at their time limits if the machine was suspended.
+    /// If the machine was suspended, makes all requests check their deadlines again.
     void check_suspension(instant now);
     void on_view(view_copy::outcome outcome);
-    void take_configuration(const wire::accepted_configuration& accepted);
+    void install_configuration(const wire::accepted_configuration& accepted);
     [[nodiscard]] fleet_follower::hooks make_follower_hooks();
     [[nodiscard]] health_report make_report();
     void on_update(const wire::fleet_update& update);
@@ -51,22 +52,23 @@
     [[nodiscard]] bool is_stop_due(instant now);
     void on_request(http_request request, const std::shared_ptr<http_reply>& reply);
 
-    fleet_settings own_;
+    fleet_settings settings_;
     entry_context context_;
     fleet_follower follower_;
     reachability_checker reachability_;
     runner_end_checker runner_ends_;
     mesh mesh_;
     std::set<std::shared_ptr<relay>> requests_;
-    std::vector<std::shared_ptr<relay>> ended_; ///< kept until none of their calls is under way
+    /// Kept until none of their member functions is on the call stack.
+    std::vector<std::shared_ptr<relay>> finished_requests_;
     std::unique_ptr<http_listener> callers_listener_;
     std::unique_ptr<http_listener> ready_listener_;
     std::unique_ptr<http_listener> metrics_listener_;
     QTimer timer_;
     suspension_watch suspensions_;
-    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be read
+    std::uint64_t unreadable_version_ = 0; ///< of the latest configuration that can't be parsed
     instant stop_began_;
-    bool closing_ = false; ///< a planned stop that accepts no connections any more
+    bool closing_ = false; ///< a planned stop has closed the listener for callers
 };
 
 } // namespace cedarpoint
--- a/src/entry/fleet_follower.cpp
+++ b/src/entry/fleet_follower.cpp
@@ -9,27 +9,26 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two reports.
 constexpr duration report_interval = milliseconds{200};
-/// The same while this daemon has no view.
+/// Time between two reports while this daemon has no view.
 constexpr duration first_report_interval = milliseconds{50};
-/// A leader that did not answer for this long, some four reports, is looked for among all control
-/// daemons.
-constexpr duration leader_silence = milliseconds{900};
+/// After this time without an answer from the leader, about four reports, reports go to all control
+/// daemons to find a leader.
+constexpr duration leader_timeout = milliseconds{900};
 
 } // namespace
 
-fleet_follower::fleet_follower(const fleet_settings& own, hooks hooks)
-    : hooks_{std::move(hooks)}, failure_domain_{own.failure_domain.str()}
+fleet_follower::fleet_follower(const fleet_settings& daemon_settings, hooks hooks)
+    : hooks_{std::move(hooks)}, failure_domain_{daemon_settings.failure_domain.str()}
 {
-    for (const auto& seed : own.seeds) {
-        control_daemons_.emplace(endpoint{seed.ip, own.address.port}.str());
+    for (const auto& seed : daemon_settings.seeds) {
+        control_daemons_.emplace(endpoint{seed.ip, daemon_settings.address.port}.str());
     }
 }
 
 bool fleet_follower::has_leader(instant now) const
 {
-    return !leader_.empty() && now - heard_ < leader_silence;
+    return !leader_.empty() && now - leader_active_at_ < leader_timeout;
 }
 
 void fleet_follower::tick(instant now)
@@ -73,16 +72,16 @@
         return;
     }
     const auto& update = in.update();
-    learn_control_daemons(update);
+    add_control_daemons(update);
     if (update.leading()) {
-        take_from_leader(now, daemon_id{in.from()}, update);
+        apply_from_leader(now, daemon_id{in.from()}, update);
     }
     else {
-        take_provisional(update);
+        apply_provisional(update);
     }
 }
 
-void fleet_follower::learn_control_daemons(const wire::fleet_update& update)
+void fleet_follower::add_control_daemons(const wire::fleet_update& update)
 {
     for (const auto& voter : update.voters()) {
         control_daemons_.emplace(voter);
@@ -92,27 +91,29 @@
     }
 }
 
-void fleet_follower::take_from_leader(instant now, const daemon_id& from,
-                                      const wire::fleet_update& update)
+void fleet_follower::apply_from_leader(instant now, const daemon_id& from,
+                                       const wire::fleet_update& update)
 {
     const auto outcome = view_.take(update);
     if (outcome == view_copy::outcome::stale) {
-        return; // from a leader of an earlier term, or overtaken by a later update
+        return; // from a leader of an earlier term, or older than an update already applied
     }
     if (leader_ != from) {
         leader_ = from;
         hooks_.on_leader(leader_, true);
     }
-    // A message may have waited while this machine was suspended; an answer shows how long.
+    // An update may have been queued while this machine was suspended. If it answers a report, its
+    // stamp is the time of that report, and the leader is only known to have been active then.
     const instant asked_at{duration{update.stamp_us()}};
-    heard_ = std::max(heard_, update.stamp_us() == 0 || asked_at > now ? now : asked_at);
+    leader_active_at_ =
+        std::max(leader_active_at_, update.stamp_us() == 0 || asked_at > now ? now : asked_at);
     if (update.followers() > 0) {
         followers_ = update.followers();
     }
     hooks_.on_update(update);
     if (outcome == view_copy::outcome::gap) {
         if (!std::exchange(behind_, true)) {
-            hurry();
+            report_soon();
         }
         return;
     }
@@ -120,9 +121,9 @@
     hooks_.on_view(outcome);
 }
 
-void fleet_follower::take_provisional(const wire::fleet_update& update)
+void fleet_follower::apply_provisional(const wire::fleet_update& update)
 {
-    // Better than no view. A leader's view goes before it, whatever its age.
+    // A leader's view takes precedence over a provisional one, at any age.
     if (!update.provisional() || view_.term() > 0) {
         return;
     }
