--- a/include/cedarpoint/config/configuration.h
+++ b/include/cedarpoint/config/configuration.h
@@ -14,13 +14,13 @@
 
 namespace cedarpoint {
 
-/// What a group of nodes does for a model.
+/// The stages of inference that a replica group runs for a model.
 enum class group_role { converged, prefill, decode };
 
-/// Order of service; a smaller value goes first.
+/// Priority of a request; a smaller value is served first.
 enum class priority_class { alarm, normal, bulk };
 
-/// A set of nodes that can form one replica.
+/// A set of nodes on one fast interconnect; a replica spans nodes of one such set only.
 struct fabric_domain_spec {
     fabric_domain_id id;
     failure_domain_id failure_domain;
@@ -38,11 +38,11 @@
     runner_id id;
     node_id node;
     endpoint address;
-    bool checks_epoch = true; ///< refuses orders of an older epoch by itself
-    int slots = 1;            ///< requests that it serves at once as a group's first runner
+    bool checks_epoch = true; ///< the engine itself rejects orders with an older epoch
+    int slots = 1;            ///< concurrent requests when it is the first runner of a group
 };
 
-/// Loadable weights.
+/// A model with the versions and adapters of it that can be loaded.
 struct model_spec {
     model_id id;
     std::vector<std::string> versions;
@@ -61,7 +61,7 @@
     group_role role = group_role::converged;
 };
 
-/// One process of a plain service.
+/// One process of an HTTP service.
 struct upstream_spec {
     runner_id id;
     failure_domain_id failure_domain;
@@ -69,38 +69,39 @@
     int slots = 1;
 };
 
-/// A plain HTTP service that calls are routed to by path.
+/// An HTTP service that serves no model; calls are routed to it by path prefix.
 struct service_spec {
     service_id id;
     std::string path_prefix;
     std::vector<upstream_spec> upstreams;
 };
 
-/// Sends a model's requests to pools; the first rule that matches wins.
+/// Routes a model's requests to pools; the first rule that matches applies.
 struct route_spec {
     model_id model;
-    std::optional<client_account_id> account; ///< none: every account
+    std::optional<client_account_id> account; ///< unset: applies to every account
     std::vector<pool_id> pools;               ///< in order of preference
 };
 
-/// A customer, its share and its bounds.
+/// A client account with its scheduling weight and its limits.
 struct account_spec {
     client_account_id id;
     std::string key_sha256; ///< lower-case hex of the secret's digest
     int weight = 1;
     failure_domain_id home_failure_domain;
-    std::vector<priority_class> priorities; ///< those it may ask for; the first is its default
+    std::vector<priority_class> priorities; ///< that it may request; the first is its default
     int max_in_flight = 0;
     int requests_per_minute = 0; ///< 0: unlimited
 };
 
-/// What placement should avoid, and how much.
+/// Weights of the costs that placement should minimize. Validated and shown in plans; placement
+/// does not use them.
 struct objective_weights {
     double group_downtime = 1;
     double stranded_accelerators = 1;
 };
 
-/// One accepted or proposed declarative file.
+/// The content of one declarative file, accepted or proposed.
 struct configuration {
     std::vector<failure_domain_id> failure_domains;
     std::vector<fabric_domain_spec> fabric_domains;
@@ -115,7 +116,7 @@
     revision based_on;
     change_id change;
 
-    /// Reads a declarative file. Empty if anything is wrong; `out` then names every fault.
+    /// Parses a declarative file. Returns nothing if it is invalid; `out` then lists every fault.
     static std::optional<configuration> parse(std::string_view text, faults& out);
 
     [[nodiscard]] const node_spec* find_node(const node_id& id) const;
--- a/include/cedarpoint/config/fault.h
+++ b/include/cedarpoint/config/fault.h
@@ -5,7 +5,7 @@
 
 namespace cedarpoint {
 
-/// One thing wrong in a file: its JSON pointer and why.
+/// One error in a file: the JSON pointer of the value and the reason.
 struct fault {
     std::string path;
     std::string text;
--- a/include/cedarpoint/config/fleet_settings.h
+++ b/include/cedarpoint/config/fleet_settings.h
@@ -13,36 +13,36 @@
 
 namespace cedarpoint {
 
-/// The part of a fleet that a process takes.
+/// The role of a process in a fleet.
 enum class fleet_role {
-    control, ///< votes on the configuration, keeps the registry, forms groups
-    entry    ///< takes callers' requests and follows the control daemons
+    control, ///< votes on the configuration, keeps the runner registry, forms groups
+    entry    ///< serves callers' requests; receives the fleet's state from the control daemons
 };
 
-/// What one process of a fleet learns from its own file. Other daemons are found from the seeds.
+/// Settings of one process of a fleet. Other daemons are discovered through the seeds.
 struct fleet_settings {
     fleet_role role = fleet_role::entry;
-    std::string name; ///< for logs
+    std::string name; ///< used in logs only
     failure_domain_id failure_domain;
-    endpoint address;                ///< for other daemons; its port is the same on all of them
-    std::optional<endpoint> bind;    ///< where it listens for them, if not at `address`
-    std::optional<endpoint> callers; ///< entry: callers' requests
-    std::optional<endpoint> ready;   ///< entry: the balancer's questions
-    std::optional<endpoint> control; ///< control: operators' and runners' calls
+    endpoint address;                ///< for other daemons; all daemons use the same port
+    std::optional<endpoint> bind;    ///< listening address for other daemons, if not `address`
+    std::optional<endpoint> callers; ///< entry: listener for callers' requests
+    std::optional<endpoint> ready;   ///< entry: listener for the load balancer's readiness checks
+    std::optional<endpoint> control; ///< control: listener for calls of operators and runners
     std::optional<endpoint> metrics;
-    std::string data_folder;          ///< control: where state lasts
+    std::string data_folder;          ///< control: folder of durable state
     std::vector<endpoint> seeds;      ///< `control` addresses of some control daemons
-    std::size_t tolerated_losses = 1; ///< control: voters that may be lost at once
+    std::size_t tolerated_losses = 1; ///< control: voters that may fail at the same time
     bool first_start = false;         ///< the whole system starts for the first time
     milliseconds heartbeat{1200};     ///< between two heartbeats of a runner
-    /// A head without its members breaks after this. Read and checked so that files which give it
-    /// stay valid; no decision goes by it any more.
+    /// Time after which a group head that has lost its members fails. Parsed and checked so that
+    /// existing files stay valid; no decision depends on it.
     milliseconds stall{4000};
-    milliseconds stop_bound{8000}; ///< a planned stop ends within this
-    retry_budget_options budget;   ///< entry: repeats beyond first attempts
+    milliseconds stop_bound{8000}; ///< longest duration of a planned stop
+    retry_budget_options budget;   ///< entry: retries beyond first attempts
     bool json_logs = false;
 
-    /// Reads a settings file. Empty if anything is wrong; `out` then names every fault.
+    /// Parses a settings file. Returns nothing if it is invalid; `out` then lists every fault.
     static std::optional<fleet_settings> parse(std::string_view text, faults& out);
 };
 
--- a/include/cedarpoint/config/json_reader.h
+++ b/include/cedarpoint/config/json_reader.h
@@ -14,10 +14,10 @@
 
 namespace cedarpoint {
 
-/// Parses JSON with comments; refuses double keys and more than `max_json_depth` levels.
+/// Parses JSON with comments; rejects duplicate keys and more than `max_json_depth` levels.
 std::optional<nlohmann::json> parse_json(std::string_view text, faults& out);
 
-/// Bounds the reader's recursion.
+/// Limit on nesting, in levels; bounds the recursion of the reader.
 inline constexpr int max_json_depth = 64;
 
 /// The values that an integer key accepts, both ends included.
@@ -26,8 +26,8 @@
     std::int64_t high = std::numeric_limits<std::int64_t>::max();
 };
 
-/// Reads one JSON object key by key and notes every fault instead of stopping at the first.
-/// The caller asks for each key it knows, then calls `finish`, which reports the unknown ones.
+/// Reads one JSON object key by key and records every fault instead of stopping at the first.
+/// The caller reads each supported key, then calls `finish`, which reports all other keys.
 class json_reader {
 public:
     json_reader(const nlohmann::json& value, std::string path, faults& out);
@@ -40,9 +40,10 @@
     bool boolean_or(const char* key, bool fallback);
     std::vector<std::string> strings_or_none(const char* key);
 
-    /// Calls `visit` with a reader for each object in the array under `key`; absent is empty.
+    /// Calls `visit` with a reader for each object in the array under `key`; an absent key counts
+    /// as an empty array.
     void each(const char* key, const std::function<void(json_reader&)>& visit);
-    /// Calls `visit` with a reader for the object under `key`, if it is there.
+    /// Calls `visit` with a reader for the object under `key`, if the key is present.
     void object(const char* key, const std::function<void(json_reader&)>& visit);
 
     void fail(const char* key, std::string text);
--- a/include/cedarpoint/config/plan.h
+++ b/include/cedarpoint/config/plan.h
@@ -7,13 +7,13 @@
 
 namespace cedarpoint {
 
-/// One difference that applying a file would make.
+/// One change that applying a file would make.
 struct plan_line {
     std::string kind; ///< "add", "change" or "remove"
-    std::string what; ///< "replica_group llm"
+    std::string what; ///< kind and id of the object, such as "replica_group llm"
 };
 
-/// What would differ, list by list, in the files' own order.
+/// Returns the changes between two configurations, list by list in the order of the files.
 std::vector<plan_line> plan_change(const configuration& from, const configuration& to);
 
 } // namespace cedarpoint
--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the declarative file: shape first, then what refers to what.
+// Parses and validates the declarative file: first the types of its values, then its references.
 
 #include "cedarpoint/config/configuration.h"
 #include "cedarpoint/config/json_reader.h"
@@ -12,7 +12,7 @@
 namespace cedarpoint {
 namespace {
 
-// A replica spans 4 to 32 nodes, as the users have it.
+// The users' replicas span 4 to 32 nodes.
 constexpr int min_group_nodes = 4;
 constexpr int max_group_nodes = 32;
 
@@ -156,7 +156,7 @@
     });
 }
 
-/// Checks that ids are unique and that every reference meets its target.
+/// Checks that ids are unique and that every reference names a declared object.
 class reference_check {
 public:
     reference_check(const configuration& config, faults& out) : config_{config}, out_{out} {}
--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -5,9 +5,9 @@
 namespace cedarpoint {
 namespace {
 
-/// A day: bounds every time in the settings.
+/// Upper bound of every duration in the settings: one day.
 constexpr std::int64_t longest_ms = 86'400'000;
-/// Nine voters.
+/// Needs nine voters.
 constexpr std::int64_t most_tolerated_losses = 4;
 
 std::optional<endpoint> read_endpoint(json_reader& in, const char* key, bool needed)
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -7,7 +7,7 @@
 
 using json = nlohmann::json;
 
-/// Builds a document while it watches for what the library lets pass: double keys and depth.
+/// Parser callback that rejects what the library accepts: duplicate keys and deep nesting.
 class strict_handler {
 public:
     explicit strict_handler(faults& out) : out_{out} {}
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -82,7 +82,7 @@
     }
 }
 
-/// Who the daemon is, where it listens, and what it stores.
+/// Reads the daemon's id, its listeners, its data folder and the operators' key.
 void read_identity(json_reader& in, settings& it)
 {
     it.id = daemon_id{in.string("id")};
@@ -102,7 +102,7 @@
     }
 }
 
-/// Limits, times and keys.
+/// Reads logging, limits, durations and the keys for connections between daemons.
 void read_behaviour(json_reader& in, settings& it)
 {
     it.json_logs = in.boolean_or("json_logs", false);
