--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -20,9 +20,9 @@
 
 using json = nlohmann::json;
 
-// How often a daemon is asked.
-constexpr unsigned long apply_poll_ms = 100;  ///< until a revision is in force
-constexpr unsigned long watch_poll_ms = 1000; ///< for a new status
+// Intervals between two polls of a daemon.
+constexpr unsigned long apply_poll_ms = 100;  ///< while waiting for a revision to be in force
+constexpr unsigned long watch_poll_ms = 1000; ///< while showing the status
 
 constexpr int json_indent = 2;
 constexpr const char* clear_screen = "\x1b[H\x1b[2J"; ///< ANSI: cursor home, erase all
@@ -47,10 +47,11 @@
                                                                 : exit_code::refused);
 }
 
-/// The kinds of file that `check` knows.
+/// The kinds of file that `check` supports.
 enum class file_kind { settings, fleet_settings, declarative };
 
-/// Told by the keys: a fleet's settings have a role and seeds; other settings a callers' listener.
+/// Returns the kind of a file by its keys: settings of a fleet have `role` and `seeds`, other
+/// settings have `callers`.
 file_kind kind_of(const std::string& text)
 {
     faults ignored;
@@ -62,7 +63,7 @@
     return is_object && value->contains("callers") ? file_kind::settings : file_kind::declarative;
 }
 
-/// True if `text` is a valid file of its kind; names every fault.
+/// Returns whether `text` is a valid file of kind `kind`; lists every fault in `out`.
 bool is_valid(file_kind kind, const std::string& text, faults& out)
 {
     switch (kind) {
@@ -75,7 +76,7 @@
     }
 }
 
-/// The revision that a daemon has in force; empty if it does not answer.
+/// Returns the revision in force at a daemon; nothing if the call fails.
 std::optional<std::uint64_t> revision_at(const endpoint& daemon)
 {
     reason why;
--- a/src/cli/daemon_start.h
+++ b/src/cli/daemon_start.h
@@ -11,8 +11,8 @@
 
 namespace cedarpoint {
 
-/// Starts a daemon. A predecessor that was killed may hold its addresses for some moments, so that
-/// the start is tried again for a while if one is in use. Empty with `why` if it does not succeed.
+/// Starts a daemon. Retries while one of its addresses is in use, for at most `longest_wait`: a
+/// previous process that was killed may still hold it. Returns null and sets `why` on failure.
 template <class Daemon, class Settings>
 [[nodiscard]] std::unique_ptr<Daemon> start_daemon(const Settings& own, reason& why)
 {
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -8,7 +8,7 @@
     usage = 1,         ///< the command line is wrong
     bad_file = 2,      ///< a file can't be read or has faults
     refused = 3,       ///< rejected by the daemon: conflict, faults, unknown request
-    unreachable = 4,   ///< no answer: the change may or may not have been made
+    unreachable = 4,   ///< no answer: it is unknown whether the change was made
     disk_failed = 5,   ///< serve: a write to durable state failed; the process ended at once
     not_everywhere = 6 ///< apply --wait: accepted, but not confirmed everywhere in time
 };
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -17,7 +17,8 @@
 
 void log_reload(const std::string& file)
 {
-    // A daemon learns what changes while it runs from its peers; the file counts at the next start.
+    // The file is only validated: its settings apply at the next start. A running daemon gets
+    // changes from its peers.
     const bool valid = read_settings<fleet_settings>(file).has_value();
     log_line("reload").with("file", file).with("valid", valid).with("applies", "at start").write();
 }
--- a/src/cli/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Without a byte from the daemon for so long, a call fails.
+/// A call fails if no byte is transferred for this long.
 constexpr int transfer_timeout_ms = 15'000;
 
 } // namespace
@@ -31,7 +31,7 @@
     QNetworkRequest request{QUrl{QString::fromStdString("http://" + daemon_.str() + path)}};
     request.setTransferTimeout(transfer_timeout_ms);
     request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-    // From the environment: a key on the command line would show in the list of processes.
+    // Read from the environment: a command line is visible in the list of processes.
     if (const auto key = qgetenv("CEDARPOINT_OPERATOR_KEY"); !key.isEmpty()) {
         request.setRawHeader("Authorization", "Bearer " + key);
     }
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -12,18 +12,19 @@
 
 /// A daemon's response to an operator's call.
 struct operator_answer {
-    int status = 0;      ///< HTTP
+    int status = 0;      ///< HTTP status code
     nlohmann::json body; ///< a string if it is not JSON
 };
 
-/// Blocking HTTP client for a daemon's operator listener. Owns only the address. Relies on every
-/// call being idempotent, since Qt may send one twice, and on an application object. Sends the key
-/// in CEDARPOINT_OPERATOR_KEY, if set.
+/// Blocking HTTP client for a daemon's operator listener. Owns only the address. Needs an
+/// application object. Every call must be idempotent, since Qt may send one twice. Authorizes calls
+/// with the key in the environment variable CEDARPOINT_OPERATOR_KEY, if set.
 class operator_client {
 public:
     explicit operator_client(endpoint daemon) : daemon_{std::move(daemon)} {}
 
-    /// Empty if no response came; `why` then says what failed. An error status is a response.
+    /// Returns nothing if no response arrived; `why` then gives the reason. A response with an
+    /// error status is returned.
     std::optional<operator_answer> get(const std::string& path, reason& why) const;
     std::optional<operator_answer> post(const std::string& path, const std::string& body,
                                         reason& why) const;
--- a/src/cli/process_signals.cpp
+++ b/src/cli/process_signals.cpp
@@ -21,7 +21,7 @@
 void process_signals::attach()
 {
     if (!on_reload) {
-        // Nothing to reload here: a hangup ends the process, as it does by default.
+        // Without a reload handler, SIGHUP keeps its default action and terminates the process.
         sigset_t hangup;
         sigemptyset(&hangup);
         sigaddset(&hangup, SIGHUP);
--- a/src/cli/process_signals.h
+++ b/src/cli/process_signals.h
@@ -7,16 +7,17 @@
 
 namespace cedarpoint {
 
-/// Turns signals of this process into events of its Qt loop. Owns the signalfd and its notifier.
-/// Construct it before any thread starts: the signals are blocked for threads started later.
+/// Delivers signals of this process as events of the Qt event loop. Owns the signalfd and its
+/// notifier. Construct it before any thread starts: the signals are blocked for threads started
+/// later.
 class process_signals {
 public:
     process_signals();
 
     std::function<void()> on_stop;   ///< SIGTERM, SIGINT
     std::function<void()> on_reload; ///< SIGHUP
-    /// Starts reporting; needs an application object. Set the handlers first: without `on_reload`,
-    /// SIGHUP ends the process.
+    /// Starts delivering signals; needs an application object. Set the handlers first: without
+    /// `on_reload`, SIGHUP terminates the process.
     void attach();
 
 private:
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -14,7 +14,7 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests in flight from which the event loop is paced; fewer gain nothing.
+/// Requests in flight from which the event loop is paced; pacing does not help below that.
 constexpr std::size_t busy_requests = 64;
 
 } // namespace
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -7,14 +7,14 @@
 
 namespace cedarpoint {
 
-/// A whole file; empty if it can't be read, with the reason on standard error.
+/// Returns the content of a file; nothing if it can't be read, with the reason on standard error.
 std::optional<std::string> read_named_file(const std::string& path);
 
-/// Each fault of the file as a line on standard error: file, place in it, text.
+/// Prints each fault as a line on standard error: file, JSON pointer, text.
 void print_faults(const std::string& file, const faults& all);
 
-/// Reads a settings file of either kind; empty if anything is wrong, with every fault on standard
-/// error.
+/// Reads a settings file of either kind. Returns nothing if it is invalid, with every fault on
+/// standard error.
 template <class Settings>
 std::optional<Settings> read_settings(const std::string& file)
 {
--- a/src/cli/status_view.cpp
+++ b/src/cli/status_view.cpp
@@ -9,7 +9,7 @@
 
 using json = nlohmann::json;
 
-/// A row of the table of groups: failure domain, group, state, epoch, nodes.
+/// Formats a row of the table of groups: failure domain, group, state, epoch, nodes.
 constexpr std::string_view group_row = "{:<14} {:<20} {:<9} {:>6}  {}\n";
 
 std::string show_log(const char* name, const json& log)
--- a/src/cli/status_view.h
+++ b/src/cli/status_view.h
@@ -5,7 +5,7 @@
 
 namespace cedarpoint {
 
-/// The body of /v1/status as text: the daemon, its requests, its logs, groups and nodes.
+/// Formats the body of /v1/status as text: the daemon, its requests, logs, groups and nodes.
 std::string show_status(const nlohmann::json& status);
 
 } // namespace cedarpoint
--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -1,4 +1,4 @@
-// What the platform says and hears, held against the shapes that its pages give.
+// Checks parsing and writing of the platform's messages against the formats of its documentation.
 
 #include "cedarpoint/fleet/platform_adapter.h"
 
@@ -126,10 +126,9 @@
     }
 }
 
-// What was seen: requests went to an address that heartbeats of another writer had named.
-// How it came about: what a runner has to tell had defaults, so that "no state" was ready, "no
-// slots" was one, and numbers of other types were cut to size.
-// What proved it: each of these heartbeats was taken.
+// Guards against requests sent to an address from a heartbeat that no runner wrote. Such heartbeats
+// were accepted when required fields had defaults (a missing state was "ready", missing slots were
+// 1) and numbers of other types were truncated.
 TEST(a_heartbeat, of_another_writer_names_no_runner)
 {
     const json whole{
