--- a/bench/benches.h
+++ b/bench/benches.h
@@ -2,7 +2,7 @@
 
 namespace cedarpoint::bench {
 
-/// Each prints its figures, one JSON line each.
+/// Each benchmark prints one JSON line per figure.
 void run_relay_bench();
 void run_failover_bench();
 
--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -1,5 +1,6 @@
-// How long control needs after a leader and a node are lost, and from apply to in force everywhere:
-// control planes in one process with faked time, messages and disks.
+// Measures the time to recover from the loss of a leader and of a node, and the time from applying
+// a configuration until it is in force everywhere. The control planes run in one process with
+// simulated time, messages and disks.
 
 #include "benches.h"
 #include "control/world.h"
@@ -20,7 +21,7 @@
     double leader = 0;
     double repair = 0;
     double in_force = 0;
-    constexpr seconds limit{30}; // for each wait, of the world's time; a failure counts as this
+    constexpr seconds limit{30}; // for each wait, in simulated time; a failed wait counts as this
     constexpr seconds repair_limit{60};
     constexpr int runs = 20; // as docs/MEASUREMENTS.md quotes: the worst of 20
     for (int n = 1; n <= runs; ++n) {
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-// Reruns the figures of docs/MEASUREMENTS.md; called by tools/measure.
+// Runs the benchmarks behind the figures of docs/MEASUREMENTS.md; called by tools/measure.
 
 #include "benches.h"
 
--- a/bench/process_usage.cpp
+++ b/bench/process_usage.cpp
@@ -16,7 +16,7 @@
     std::getline(stat, text);
     std::istringstream rest{text.substr(text.rfind(')') + 2)};
     std::string word;
-    // utime and stime of proc(5), counted from the state, the first field after the name.
+    // utime and stime of proc(5); indices count from the state, the first field after the name.
     constexpr int user_field = 11;
     double ticks = 0;
     for (int n = 0; rest >> word; ++n) {
--- a/bench/process_usage.h
+++ b/bench/process_usage.h
@@ -13,7 +13,8 @@
 
 process_usage usage_of(std::int64_t pid);
 
-/// One line of JSON for tools/measure. `target` is written as it is; met is null without one.
+/// Prints one line of JSON for tools/measure. `target` is written unchanged; "met" is null without
+/// a target.
 void print_figure(const std::string& name, double value, const std::string& unit,
                   const std::string& target, int met);
 
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -1,4 +1,5 @@
-// What the request path costs: a real daemon process between this process's callers and engines.
+// Measures the cost of the request path: a real daemon process relays between callers and engines
+// in this process.
 
 #include "benches.h"
 #include "daemon/site.h"
@@ -20,14 +21,14 @@
 constexpr int node_count = 4; // the smallest group that a file may declare
 constexpr std::uint16_t callers_port = 25'080;
 constexpr std::uint16_t operators_port = 25'081;
-// Slots and requests in flight: more than any figure here has at once.
+// Limit of slots and requests in flight; no benchmark here reaches it.
 constexpr int no_limit = 100'000;
-// A daemon's share of the target in docs/CAPACITY.md: 230,000 requests and 47 M tokens a second
-// over 2,000 daemons; of a core, at most this much may go on them.
+// Load of one daemon under the target in docs/CAPACITY.md (230,000 requests and 47 M tokens a
+// second over 2,000 daemons), and the largest share of a core that it may use.
 constexpr double target_requests = 115;  // a second
 constexpr double target_tokens = 23'500; // a second
 constexpr double target_core_share = 0.4;
-constexpr double target_added_ms = 1; // to the first token, p95
+constexpr double target_added_ms = 1; // added to the time to the first token, p95
 
 /// One daemon process with one group of engines in this process.
 class rig {
@@ -89,7 +90,7 @@
     rig(const rig&) = delete;
     rig& operator=(const rig&) = delete;
 
-    /// The time to the first token of a small request sent to `to`; 0 if it failed.
+    /// Returns the time to the first token of a small request sent to `to`; 0 if it failed.
     static duration first_answer(const endpoint& to)
     {
         raw_caller it{to};
@@ -146,7 +147,8 @@
                  percentile_ms(relayed, 0.5) - percentile_ms(direct, 0.5), "ms", "", -1);
 }
 
-/// Processor time of the daemon per token with this many streams at once.
+/// Returns the processor time of the daemon per token, in seconds, with `streams` concurrent
+/// streams.
 double measure_streams(rig& at, int streams, int tokens)
 {
     std::vector<std::unique_ptr<raw_caller>> all;
@@ -178,7 +180,8 @@
     return cpu / total;
 }
 
-/// Processor time of the daemon per request without a stream, over kept-open connections.
+/// Returns the processor time of the daemon per request that is not streamed, in seconds, over
+/// persistent connections.
 double measure_requests(rig& at)
 {
     constexpr int callers = 50;
@@ -215,7 +218,8 @@
 
 } // namespace
 
-/// Memory of connections that wait, measured first: later the heap has room left over.
+/// Measures the memory of idle connections. Must run first: later allocations could reuse free heap
+/// space and would not show.
 void measure_idle_connections(rig& at)
 {
     constexpr int connections = 1000;
--- a/tools/stand_in/main.cpp
+++ b/tools/stand_in/main.cpp
@@ -1,4 +1,5 @@
-// Stand-in engines for the demo and for load on one machine: one process, many addresses.
+// Runs stand-in engines on several ports in one process, for the demo and for load tests on one
+// machine.
 
 #include "stand_in/stand_in_runner.h"
 
--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -9,9 +9,8 @@
 
 using json = nlohmann::json;
 
-/// The largest body of a request, in bytes. Not measured.
 constexpr std::size_t max_body_bytes = 64 << 20;
-/// Bytes that wait in the socket before the stand-in writes no further token. Not measured.
+/// Unsent bytes of a stream from which no further token is written.
 constexpr std::size_t max_buffered_bytes = 1 << 20;
 
 http_head json_head(int status)
@@ -223,7 +222,7 @@
         const auto reply = node.mapped().reply;
         reply->on_gone = nullptr;
         if (breaks) {
-            reply->write("data: {\"half"); // a torn event, which must never reach a caller
+            reply->write("data: {\"half"); // a truncated event, which must never reach a caller
             reply->abort();
         }
         else {
@@ -239,7 +238,7 @@
         it.reply->write(token_event(it.chat, it.next));
     }
     else {
-        return; // held back
+        return; // the caller reads slowly: the token is written later
     }
     ++it.next;
 }
--- a/tools/stand_in/stand_in_runner.h
+++ b/tools/stand_in/stand_in_runner.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// The stage of a request at which a stand-in fails it.
+/// The stage at which a stand-in runner fails a request.
 enum class fault_stage {
     none,
     after_request,
@@ -23,17 +23,17 @@
     stall
 };
 
-/// A small model engine on one address, for the demo, the tests and the benches: takes fenced
-/// orders, reports its state, streams answers token by token, resumes and cancels, injects faults.
-/// Owns: its listener, its streams and counts of what reached it. Relies on: a running Qt event
-/// loop.
+/// A simulated model engine on one address, for the demo, the tests and the benchmarks: executes
+/// fenced orders, reports its state, streams answers token by token, resumes and cancels streams,
+/// and injects faults. Owns its listener, its streams and records of the requests and orders that
+/// it received. Needs a running Qt event loop.
 class stand_in_runner {
 public:
     struct options {
-        int tokens = 8;           ///< in an answer, unless the request says
+        int tokens = 8;           ///< in an answer, unless the request has `max_tokens`
         int token_ms = 5;         ///< between two tokens
         int load_ms = 20;         ///< from the order to load to ready
-        bool checks_epoch = true; ///< refuses orders of an older epoch, requests of another
+        bool checks_epoch = true; ///< rejects orders of older and requests of other epochs
     };
 
     explicit stand_in_runner(options options);
@@ -43,14 +43,14 @@
 
     bool start(const endpoint& at, reason& why);
     [[nodiscard]] endpoint address() const { return listener_->address(); }
-    /// The next `times` requests (not orders or state) end this way.
+    /// Makes the next `times` requests fail at `stage`; orders and state queries are not affected.
     void fail_next(fault_stage stage, int times)
     {
         stage_ = stage;
         failures_ = times;
     }
     void set_leaving(bool it) { leaving_ = it; }
-    /// Requests that reached it, by their body's text or path, to count double runs.
+    /// Number of requests received, by body (by path if the body is empty); detects duplicates.
     [[nodiscard]] const std::map<std::string, int>& arrivals() const { return arrivals_; }
     [[nodiscard]] int served() const { return served_; }
     [[nodiscard]] int in_flight() const { return static_cast<int>(streams_.size()); }
