--- a/tests/soak/control_restart_test.cpp
+++ b/tests/soak/control_restart_test.cpp
@@ -1,5 +1,5 @@
-// All control daemons are killed at once and start again, many times in a row, behind proxies and
-// beside entry daemons that ask them. By hand:
+// Kills and restarts all control daemons repeatedly, behind proxies and with entry daemons that
+// follow them. Manual run:
 //     RESTARTS=200 build/cedarpoint_tests --gtest_filter='*control_daemons_that_restart*'
 
 #include "daemon/site.h"
@@ -24,7 +24,7 @@
 using testing_support::pass_time;
 using testing_support::wait_until;
 
-/// From the start of all control daemons to a leader.
+/// Longest time from the start of all control daemons until one leads.
 constexpr duration longest_recovery = seconds{12};
 
 const std::string document = R"({"version":1,
@@ -34,8 +34,8 @@
 
 struct fleet_kind {
     const char* name;
-    const char* preload; ///< a library that is loaded into each daemon
-    int net;             ///< tests run side by side, so that each needs addresses of its own
+    const char* preload; ///< a library for LD_PRELOAD of each daemon
+    int net;             ///< unique per test, since tests run in parallel
 };
 
 class control_daemons_that_restart : public testing::TestWithParam<fleet_kind> {
@@ -55,7 +55,7 @@
     std::vector<std::unique_ptr<loopback_proxy>> proxies;
 };
 
-// Guards against a fleet without a leader after all of its control daemons were lost at once.
+// Guards against a fleet that stays without a leader after all control daemons failed at once.
 TEST_P(control_daemons_that_restart, have_a_leader_soon_each_time)
 {
     std::mt19937_64 random{number_from_environment("RESTART_SEED", 1)};
@@ -71,7 +71,7 @@
         const auto began = steady_now();
         ASSERT_TRUE(wait_until([&] { return fleet.leader().has_value(); })) << "round " << round;
         ASSERT_LT(steady_now() - began, longest_recovery) << "round " << round;
-        // The next kill comes at any moment of what follows an election.
+        // The next kill comes at a random time after the election.
         pass_time(milliseconds{random() % 2 * (random() % 1500)});
     }
 }
--- a/tests/soak/loopback_proxy.h
+++ b/tests/soak/loopback_proxy.h
@@ -10,7 +10,7 @@
 
 namespace cedarpoint::testing_support {
 
-/// Passes connections on from one loopback address to another, and harms them on request.
+/// TCP proxy from one loopback address to another with injected faults.
 class loopback_proxy {
 public:
     loopback_proxy(const endpoint& from, endpoint to);
@@ -18,9 +18,9 @@
     loopback_proxy& operator=(const loopback_proxy&) = delete;
     ~loopback_proxy();
 
-    /// Nothing passes any more, and nobody is told; new connections are taken and stay silent.
+    /// Stops forwarding without closing connections; new ones are accepted and stay silent.
     void set_silent(bool silent);
-    /// Only what comes from the caller's side is held back.
+    /// Stops forwarding from the caller only.
     void set_one_way(bool one_way) { one_way_ = one_way; }
     void set_delay(int milliseconds) { delay_ms_ = milliseconds; }
     void reset_all();
--- a/tests/soak/slow_disk.cpp
+++ b/tests/soak/slow_disk.cpp
@@ -1,5 +1,4 @@
-// A library that tests preload into daemons: each sync of a file takes as long as on a disk that
-// many others write to.
+// A library for LD_PRELOAD of daemons: delays each sync of a file, as on a heavily loaded disk.
 
 #include <ctime>
 #include <sys/syscall.h>
--- a/tests/support/daemon_process.h
+++ b/tests/support/daemon_process.h
@@ -8,10 +8,10 @@
 
 namespace cedarpoint::testing_support {
 
-/// One process of the real program, a daemon of a fleet. Killed with its owner.
+/// A fleet daemon that runs as a process of the real program. The destructor kills it.
 class daemon_process {
 public:
-    /// `preload`: a library to load into it; empty: none.
+    /// `preload`: a library for LD_PRELOAD; empty: none.
     daemon_process(const std::string& settings_file, const std::string& log,
                    const std::string& preload = {})
     {
--- a/tests/support/fleet_processes.h
+++ b/tests/support/fleet_processes.h
@@ -12,27 +12,28 @@
 
 namespace cedarpoint::testing_support {
 
-/// The daemons of a fleet as processes of the real program, on addresses of the loopback range:
-/// first three control daemons, then the entry daemons.
+/// Runs the daemons of a fleet as processes of the real program on loopback addresses. Daemons are
+/// numbered: first the three control daemons, then the entry daemons.
 class fleet_processes {
 public:
     static constexpr int control_count = 3;
 
     struct options {
-        int net = 0; ///< addresses are 127.NET.*.*; tests run side by side, each with its own
+        int net = 0; ///< addresses are 127.NET.*.*; unique per test, since tests run in parallel
         int entry_daemons = 0;
-        std::string log_name; ///< of the log files beside the build
-        /// Control daemons listen to each other and to entry daemons at `bind_address`: the test
-        /// puts proxies at the addresses that they are told.
+        std::string log_name; ///< prefix of the log files in the build folder
+        /// Control daemons listen at `bind_address` for other daemons, and the test runs proxies at
+        /// the advertised `mesh_address`.
         bool behind_proxies = false;
-        std::string preload; ///< a library of the tests, loaded into each daemon; empty: none
-        /// Of the requests that come, the part that may be sent to a second runner; 0: the default.
+        std::string preload; ///< a library for LD_PRELOAD of each daemon; empty: none
+        /// `ratio` of the retry budget; 0: the default.
         double retry_ratio = 0;
     };
 
     explicit fleet_processes(options options);
 
-    /// `first`: with an empty data folder, as the whole fleet starts for the first time.
+    /// Starts a daemon. `first`: the whole fleet starts for the first time, with empty data
+    /// folders.
     void start(int which, bool first);
     void start_all();
     [[nodiscard]] daemon_process& at(int which)
@@ -42,18 +43,18 @@
     [[nodiscard]] int count() const { return static_cast<int>(daemons_.size()); }
 
     [[nodiscard]] const std::vector<endpoint>& controls() const { return controls_; }
-    /// Where entry daemons take callers.
+    /// Returns the addresses for callers of the entry daemons.
     [[nodiscard]] std::vector<endpoint> entries() const;
-    /// The mesh addresses of a control daemon: as the others are told, and as it binds it.
+    /// The advertised mesh address of a control daemon, and the one that it binds behind proxies.
     [[nodiscard]] endpoint mesh_address(int control) const;
     [[nodiscard]] endpoint bind_address(int control) const;
-    /// The control daemon that leads; empty if none does now.
+    /// Returns the number of the leading control daemon; nothing if none leads.
     [[nodiscard]] std::optional<int> leader() const;
-    /// Offers a configuration to each control daemon until one takes it. True if one did.
-    /// `stopped`: one that answers nothing and is not asked.
+    /// Sends a configuration to the control daemons in turn until one accepts it. Returns whether
+    /// one did. `stopped`: a suspended control daemon, which is skipped.
     [[nodiscard]] bool put(const std::string& document, std::optional<int> stopped = {}) const;
 
-    /// Waits until each entry daemon serves a GET of `target`. False if one does not.
+    /// Waits until each entry daemon serves a GET of `target`. Returns false on a timeout.
     [[nodiscard]] bool wait_serving(const std::string& target) const;
 
 private:
--- a/tests/support/group_invariants.h
+++ b/tests/support/group_invariants.h
@@ -8,17 +8,17 @@
 
 namespace cedarpoint::testing_support {
 
-/// Checks a group table from outside: each node is in one record at most, and the table's index by
-/// node says the same as its records. It owns the lists of nodes and groups to ask about; it relies
-/// on the table's public accessors only.
+/// Checks the invariants of a group table through its public accessors: each node is in at most one
+/// record, and the index by node agrees with the records. Owns the lists of nodes and groups to
+/// query.
 class group_invariants {
 public:
-    /// Nodes and groups that may turn up in a command, refused ones included. Those of records need
-    /// not be named.
+    /// Adds a node or group that a command may contain, including rejected commands. Those in
+    /// records are added by `check`.
     void expect_node(const node_id& node) { nodes_.insert(node); }
     void expect_group(const group_id& group) { groups_.insert(group); }
 
-    /// What is wrong with `table`, for a person to read; empty if nothing is.
+    /// Returns a description of the first violated invariant; empty if there is none.
     std::string check(const group_table& table)
     {
         std::map<node_id, group_id> held;
@@ -34,8 +34,8 @@
         if (auto wrong = compare(table, held); !wrong.empty()) {
             return wrong;
         }
-        // An index entry whose group has no record is not visible from outside. In a copy each
-        // missing group gets a record, which would make such entries visible.
+        // The accessors do not show an index entry whose group has no record. Adding records for
+        // all missing groups to a copy of the table would make such entries visible.
         if (groups_.size() == table.records().size()) {
             return {};
         }
@@ -52,7 +52,7 @@
     }
 
 private:
-    /// `held`: the group of each node that is in a record.
+    /// Compares the index by node with `held`, the group of each node that is in a record.
     [[nodiscard]] std::string compare(const group_table& table,
                                       const std::map<node_id, group_id>& held) const
     {
--- a/tests/support/memory_files.cpp
+++ b/tests/support/memory_files.cpp
@@ -24,7 +24,7 @@
     if (fail_in_ < 0 || fail_in_-- > 0) {
         return false;
     }
-    fail_in_ = 0; // a disk that has failed goes on failing
+    fail_in_ = 0; // a failed disk keeps failing
     why = {"write", path, "the disk has failed"};
     return true;
 }
--- a/tests/support/memory_files.h
+++ b/tests/support/memory_files.h
@@ -7,7 +7,7 @@
 
 namespace cedarpoint::testing_support {
 
-/// A disk in memory that can fail, and tear the write during which it fails.
+/// In-memory file system with injected write failures, including partial appends.
 class memory_files final : public file_system {
 public:
     std::optional<std::string> read(const std::string& path, reason& why) override;
@@ -16,7 +16,8 @@
     bool truncate(const std::string& path, std::uint64_t size, reason& why) override;
     bool make_folder(const std::string& path, reason& why) override;
 
-    /// The n-th write from now fails (0: the next); of an append, `kept` bytes reach the disk.
+    /// Makes the write after the next `n` ones fail, and all later ones until `work_again`. If it
+    /// is an append, its first `kept` bytes are written.
     void fail_write(int n, std::size_t kept);
     void work_again() { fail_in_ = -1; }
     void wipe() { files_.clear(); }
--- a/tests/support/open_loop_callers.h
+++ b/tests/support/open_loop_callers.h
@@ -13,7 +13,8 @@
 
 namespace cedarpoint::testing_support {
 
-/// Callers that ask whatever the answers are, unevenly spread over entry daemons.
+/// Open-loop load: sends requests at a fixed rate, independent of the answers, unevenly distributed
+/// over the entry daemons.
 class open_loop_callers {
 public:
     struct request {
@@ -23,13 +24,13 @@
     };
     struct result {
         instant ended;
-        int status = 0; ///< 0: no whole answer
+        int status = 0; ///< HTTP status; 0: no complete answer
         duration took{};
-        double retry_after = 0; ///< seconds; 0: none is named
-        std::string text;       ///< of the answer
+        double retry_after = 0; ///< seconds; 0: not given
+        std::string text;       ///< body of the answer
     };
 
-    /// `name`: in the ids of the requests, which begin with the number of their entry daemon.
+    /// `name` is part of the request ids, after the number of the entry daemon.
     open_loop_callers(std::vector<endpoint> entries, double per_second, std::string name,
                       std::function<request(std::size_t)> make);
 
@@ -47,7 +48,7 @@
     std::string name_;
     std::function<request(std::size_t)> make_;
     instant began_;
-    std::vector<std::size_t> turns_; ///< entry daemons, each as often as its share
+    std::vector<std::size_t> turns_; ///< indices of entry daemons, each repeated by its share
     runner_pool pool_;
     QTimer timer_;
     std::size_t sent_ = 0;
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -14,17 +14,17 @@
 
 namespace cedarpoint::testing_support {
 
-/// The entry daemon that sent a request: its id begins with the daemon's number.
+/// Returns the number of the entry daemon that sent a request; the request's id begins with it.
 inline int sender_of(const std::string& request)
 {
     return std::stoi(request);
 }
 
-/// Decides which requests one runner turns away, and notes what comes within its pauses.
+/// Makes a runner reject requests with a pause, and counts requests that arrive within a pause.
 class pausing_runner {
 public:
-    /// What is under way when a runner asks for a pause still arrives in this time. After it the
-    /// users' rules allow two requests; the product sends none.
+    /// Requests that were in transit when a runner asked for a pause arrive within this time. After
+    /// it the users' rules allow two requests; the product sends none.
     static constexpr duration under_way = milliseconds{500};
 
     explicit pausing_runner(platform_runner& runner) : runner_{runner}
@@ -32,7 +32,7 @@
         runner.turn_away = [this](const std::string& request) { return on_request(request); };
     }
 
-    /// The next request of this entry daemon is turned away, with a pause of this time.
+    /// Makes the runner reject the next request of entry daemon `sender` with a pause of `time`.
     void ask(int sender, duration time) { due_[sender] = time; }
     [[nodiscard]] bool is_due_for(int sender) const { return due_.contains(sender); }
     [[nodiscard]] bool is_paused_for(int sender) const
@@ -40,16 +40,16 @@
         const auto found = asked_.find(sender);
         return is_due_for(sender) || (found != asked_.end() && steady_now() < found->second.until);
     }
-    /// An entry daemon begins anew, and need not know its pauses any more.
+    /// Drops the pauses of an entry daemon that restarts, since it loses them too.
     void forget(int sender) { asked_.erase(sender); }
 
     struct arrival {
         instant at;
         int sender = 0;
     };
-    std::vector<arrival> arrivals; ///< of all requests
-    int asked = 0;                 ///< pauses
-    int within = 0; ///< requests that came within a pause, and not right after it was asked for
+    std::vector<arrival> arrivals; ///< all requests
+    int asked = 0;                 ///< number of pauses
+    int within = 0; ///< requests within a pause, later than `under_way` after its start
 
 private:
     struct pause {
@@ -63,7 +63,7 @@
         const int sender = sender_of(request);
         arrivals.push_back({now, sender});
         if (std::exchange(lives_, runner_.ends.size()) != runner_.ends.size()) {
-            asked_.clear(); // a new life has asked for nothing yet
+            asked_.clear(); // a restarted runner has not asked for a pause
         }
         if (const auto due = due_.extract(sender); !due.empty()) {
             ++asked;
@@ -79,8 +79,8 @@
         return answer_within();
     }
 
-    /// What a runner may say while it is still left no peace: nothing more, a shorter pause, or
-    /// something that can't be read.
+    /// Returns the pause in the answer to a request within a pause: none, a shorter one, or an
+    /// invalid value.
     std::string answer_within()
     {
         constexpr std::array<const char*, 6> answers{"", "0.1", "0", "soon", "nan", "-1"};
@@ -88,7 +88,7 @@
     }
 
     platform_runner& runner_;
-    std::size_t lives_ = 0; ///< that have ended
+    std::size_t lives_ = 0; ///< lives of the runner that have ended
     std::map<int, duration> due_;
     std::map<int, pause> asked_;
     std::size_t turn_ = 0;
--- a/tests/suspension/suspended_clock.cpp
+++ b/tests/suspension/suspended_clock.cpp
@@ -1,5 +1,5 @@
-// A library that tests preload into the daemons: the clocks that do not count a suspension stand
-// still between SIGSTOP and SIGCONT, as on a machine that was suspended.
+// A library for LD_PRELOAD of daemons: the clocks that exclude suspension stop between SIGSTOP and
+// SIGCONT, as on a machine that was suspended.
 
 #include <atomic>
 #include <csignal>
@@ -13,7 +13,7 @@
 constexpr std::int64_t ns_per_second = 1'000'000'000;
 
 std::atomic<std::int64_t> suspended_ns{0};
-std::atomic<std::int64_t> latest_ns{0}; ///< of the readings before a suspension
+std::atomic<std::int64_t> latest_ns{0}; ///< CLOCK_MONOTONIC at the latest reading of a clock
 
 std::int64_t read_real(clockid_t which)
 {
--- a/tests/suspension/suspended_fleet_test.cpp
+++ b/tests/suspension/suspended_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Guards against decisions that rest on timers which stood still while the machine was suspended,
-// or on what was queued before and during that time.
+// Guards against decisions based on timers that stopped while the machine was suspended, or on data
+// queued before and during the suspension.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Requests that reached a runner.
+    /// Returns the number of requests that reached a runner.
     [[nodiscard]] std::size_t arrivals() const
     {
         std::size_t out = 0;
@@ -76,7 +76,7 @@
         return out;
     }
 
-    /// The version that a control daemon says is the newest; 0 if it says none.
+    /// Returns the latest version according to a control daemon; 0 if it gives none.
     static int version_at(const endpoint& control)
     {
         const auto answer = call(control, "GET", "/cedarpoint/config/get", "", "");
@@ -86,7 +86,7 @@
         return nlohmann::json::parse(answer.body).at("version").get<int>();
     }
 
-    /// Tests run side by side, so that each needs addresses of its own.
+    /// Tests run in parallel, so each uses its own addresses.
     [[nodiscard]] static int net_of_this_test()
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
@@ -152,11 +152,11 @@
     EXPECT_EQ(version_at(fleet.controls()[static_cast<std::size_t>(*fleet.leader())]), 3);
 }
 
-// Guards against requests that waited in their sockets being run for callers that have gone.
+// Guards against running requests that waited in socket buffers after their callers disconnected.
 TEST_F(a_suspended_fleet, sends_nothing_for_callers_that_closed_at_their_deadline)
 {
     constexpr int caller_count = 40;
-    // Half of the callers keep their connections, as after an earlier request.
+    // Half of the callers reuse the connection of an earlier request.
     std::vector<std::unique_ptr<raw_caller>> callers;
     for (int n = 0; n < caller_count / 2; ++n) {
         callers.push_back(std::make_unique<raw_caller>(fleet.entries()[0]));
