--- a/tests/compat/compat_support.cpp
+++ b/tests/compat/compat_support.cpp
@@ -68,7 +68,7 @@
 
 endpoint free_endpoint(int host)
 {
-    // Below the range from which the kernel gives ports to connections.
+    // Below the ephemeral port range of the kernel.
     constexpr std::uint16_t first = 12'000;
     constexpr std::uint16_t last = 31'000;
     constexpr int spread = 250;
@@ -94,7 +94,7 @@
     only->set_id(self);
     only->set_voter(true);
     reason why;
-    // Time is an argument of the log: a few seconds of it pass at once.
+    // Time is an argument of the log, so several seconds are simulated without waiting.
     instant now{seconds{1000}};
     const auto log = replicated_log::open(
         now, std::move(options), &files, folder, state,
--- a/tests/compat/compat_support.h
+++ b/tests/compat/compat_support.h
@@ -12,29 +12,29 @@
 #include <string>
 #include <vector>
 
-// What the tests of compatibility share. They hold what an earlier version has written or shown,
-// so they use only what stays: the program, its HTTP, its log, the messages and the settings.
+// Support for the compatibility tests. They check data and output of an earlier version, so they
+// use stable interfaces only: the program, its HTTP interface, its log, the messages and the
+// settings.
 namespace cedarpoint::testing_support {
 
-/// The path of a file or folder below tests/compat.
+/// Returns the path of a file or folder below tests/compat.
 std::string kept_path(const std::string& name);
-/// The content of a file below tests/compat; empty if it can't be read.
+/// Returns the content of a file below tests/compat; empty if it can't be read.
 std::string kept_text(const std::string& name);
-/// The lines of a file below tests/compat that are neither empty nor comments.
+/// Returns the lines of a file below tests/compat that are neither empty nor comments.
 std::vector<std::string> kept_lines(const std::string& name);
 
-/// Puts a copy of a kept data folder at `to`: a start changes the folder.
+/// Copies a kept data folder to `to`, since a daemon changes the folder at its start.
 void copy_kept_folder(const std::string& name, const std::string& to);
 
-/// A free port on a loopback address that no other test process uses. `host` tells the addresses of
-/// one process apart.
+/// Returns a free port on a loopback address that is unique to this test process and `host`.
 endpoint free_endpoint(int host);
 
-/// Opens a log's folder as its only voter, and runs it until all that the folder holds is applied
-/// to `state`. False if that fails.
+/// Opens a log's folder as its only voter, and runs the log until all its entries are applied to
+/// `state`. Returns false if that fails.
 bool read_log(const std::string& folder, const std::string& self, replicated_state& state);
 
-/// One process of the real program, with a settings file of its own.
+/// Runs a process of the real program with its own settings file.
 class daemon_run {
 public:
     daemon_run(const std::string& subcommand, const nlohmann::json& settings);
@@ -43,12 +43,12 @@
     daemon_run& operator=(const daemon_run&) = delete;
 
     void signal(int number) const;
-    /// Everything on standard output and standard error so far.
+    /// Returns all text on standard output and standard error so far.
     [[nodiscard]] std::string log() const;
-    /// True once the log has a line with all of `parts`.
+    /// Waits for a log line that contains all of `parts`; returns false on a timeout.
     [[nodiscard]] bool wait_for_line(const std::vector<std::string>& parts) const;
     [[nodiscard]] bool has_line(const std::vector<std::string>& parts) const;
-    /// The exit code; -1 if it does not end.
+    /// Waits for the process to end. Returns its exit code; -1 on a timeout.
     int wait_ended();
 
 private:
@@ -58,11 +58,11 @@
 
 using names_by_event = std::map<std::string, std::set<std::string>>;
 
-/// The events of a log in JSON lines, each with the names of all fields that it came with.
+/// Returns the events of a log of JSON lines, each with the names of all its fields.
 names_by_event events_in(const std::string& log);
-/// The metrics in a text of the exposition format, each as "name type".
+/// Returns the metrics in a text of the exposition format, each as "name type".
 std::set<std::string> metrics_in(const std::string& text);
-/// Leaves what a test found beside the build, for whoever adds a name to a golden file.
+/// Writes what a test found to the build folder, as input for changes of a golden file.
 void note_found(const std::string& name, const std::string& text);
 
 } // namespace cedarpoint::testing_support
--- a/tests/compat/messages_test.cpp
+++ b/tests/compat/messages_test.cpp
@@ -1,6 +1,6 @@
-// The messages between daemons and in the logs, as an earlier version knew them. Daemons of two
-// versions talk to each other during an update, and a new one reads the old one's log: a field that
-// gets another number, type or label is misread there, so none of these may change.
+// Guards against incompatible changes of the messages between daemons and in the logs. During an
+// update daemons of two versions communicate, and a new one reads the log of the old one: a field
+// whose number, type or label changes would be misread.
 
 #include "compat/compat_support.h"
 #include "control.pb.h"
@@ -21,7 +21,7 @@
 using testing_support::kept_lines;
 using testing_support::note_found;
 
-/// "message.number: label type name", the type with its full name where it has one.
+/// Returns "message.number: label, type, name"; message and enum types have their full name added.
 std::string describe_field(const FieldDescriptor& field)
 {
     std::string type = field.type_name();
--- a/tests/compat/names_test.cpp
+++ b/tests/compat/names_test.cpp
@@ -1,6 +1,6 @@
-// Names that operators' dashboards and searches rest on: metrics, and logged events with their
-// fields. Each in the golden files must still be shown by real processes; more may be. What a run
-// showed is left beside the build as found-*.
+// Guards the names that operators' dashboards and searches depend on: metrics, and logged events
+// with their fields. Real processes must produce each name in the golden files; other names are
+// allowed. The names found by a run are written to the build folder as found-*.
 
 #include "compat/compat_support.h"
 #include "daemon/site.h"
@@ -18,7 +18,7 @@
 
 using namespace testing_support;
 
-/// The golden lines of one role, without the role.
+/// Returns the golden lines of one role, without the role.
 std::vector<std::string> golden_of(const std::string& file, const std::string& role)
 {
     std::vector<std::string> out;
@@ -132,8 +132,9 @@
                     "why");
     }
 
-    /// True once both kinds of routes answer. Asks slowly: lines of one kind are bounded, and what
-    /// a fast caller's refusals leave out would be missing from the log.
+    /// Waits until both kinds of routes answer; returns false on a timeout. Sends requests slowly:
+    /// the log limits lines of one kind, and fast retries would suppress lines that the test
+    /// expects.
     bool serves()
     {
         const auto pause = std::chrono::milliseconds{50};
@@ -148,7 +149,7 @@
         });
     }
 
-    /// Makes each of the daemons say what it says only now and then.
+    /// Triggers the events that daemons log only occasionally.
     void make_trouble()
     {
         for (const auto& runner : runners) {
@@ -163,9 +164,9 @@
         EXPECT_EQ(post("/cedarpoint/instances/i-9/deregister", ""), 200);
         control->signal(SIGHUP);
         entry->signal(SIGHUP);
-        runners.erase(runners.begin()); // a head that is gone: its address refuses
+        runners.erase(runners.begin()); // the head of a group ends: its address refuses connections
         EXPECT_TRUE(control->wait_for_line({R"("event":"look_failed")"})) << control->log();
-        // One more control daemon asks to be let in.
+        // Another control daemon asks to join.
         auto newcomer = control_settings();
         newcomer["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
         newcomer["control"] = free_endpoint(2).str();
@@ -224,7 +225,7 @@
               kept_text("data/platform-document.json"));
     EXPECT_TRUE(entry->wait_for_line({R"("event":"in_force")", R"("version":"12")"}));
     ASSERT_TRUE(serves()) << entry->log();
-    // A group of three, as the engine's model says.
+    // A group of three runners, the size of the engine's model.
     EXPECT_TRUE(
         control->has_line({R"("event":"placement")", R"("phase":"serving")", "i-1", "i-2", "i-3"}))
         << control->log();
@@ -302,7 +303,7 @@
         return call(operators, "POST", path, "", body).head.status;
     }
 
-    /// True once the group and the shop answer.
+    /// Waits until the group and the shop answer; returns false on a timeout.
     [[nodiscard]] bool serves() const
     {
         return wait_until([&] { return chat() == 200 && shop("") == 200; });
--- a/tests/compat/settings_test.cpp
+++ b/tests/compat/settings_test.cpp
@@ -1,5 +1,5 @@
-// Files of operators, as they were written for an earlier version: an update must not ask for them
-// to be written anew, nor read another meaning into them.
+// Guards against updates that reject operators' files of an earlier version or change their
+// meaning.
 
 #include "cedarpoint/config/configuration.h"
 #include "cedarpoint/config/fleet_settings.h"
@@ -13,7 +13,7 @@
 
 using testing_support::kept_text;
 
-/// Reads a kept file; a fault or a missing file fails the test.
+/// Parses a kept file; a fault or a missing file fails the test.
 template <class Read>
 Read parse_kept(const std::string& name)
 {
--- a/tests/compat/stored_data_test.cpp
+++ b/tests/compat/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Data folders that an earlier version has written (data/README.md says how). An update starts on
-// such a folder, and everything that was acknowledged must be there.
+// Guards against losing acknowledged data when an update starts on a data folder of an earlier
+// version. data/README.md describes how the kept folders were written.
 
 #include "cedarpoint/fleet/fleet_state.h"
 #include "cedarpoint/state/domain_state.h"
@@ -19,10 +19,10 @@
 
 using namespace testing_support;
 
-constexpr const char* control_id = "127.91.4.1:17411"; ///< as it stands in the kept log
+constexpr const char* control_id = "127.91.4.1:17411"; ///< as written in the kept log
 constexpr const char* peer_id = "kept-1";
 
-/// A copy of a kept folder, gone with the test.
+/// A temporary copy of a kept folder.
 class copied_folder {
 public:
     explicit copied_folder(const std::string& name) : path_{folder_.path().toStdString() + "/data"}
@@ -36,7 +36,7 @@
     std::string path_;
 };
 
-/// The state behind a peer's log of its failure domain.
+/// The state machine of a peer's log of its failure domain.
 class domain_reader final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
@@ -52,7 +52,7 @@
     domain_state domain;
 };
 
-/// The state behind a peer's log of the root.
+/// The state machine of a peer's log of the root.
 class root_reader final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
@@ -72,7 +72,7 @@
 
 class a_control_daemons_folder_of_an_earlier_version : public testing::Test {
 protected:
-    /// What the folder holds, as a snapshot of the state that its log gives.
+    /// Returns a snapshot of the state that results from the log in the folder.
     wire::fleet_snapshot read()
     {
         fleet_state state;
@@ -88,7 +88,7 @@
                 {"name", "kept"},
                 {"failure_domain", "z"},
                 {"address", control_id},
-                {"bind", free_endpoint(0).str()}, // its own address may not be free here
+                {"bind", free_endpoint(0).str()}, // `control_id` may be in use on this machine
                 {"control", control.str()},
                 {"data_folder", folder.path()},
                 {"seeds", {control.str()}},
@@ -180,7 +180,7 @@
         const auto path = fmt::format("/cedarpoint/instances/{}/deregister", runner);
         EXPECT_EQ(call(control, "POST", path, "", "").head.status, 200) << runner;
     }
-    // Only what is news is written to the log.
+    // Only new departures are written to the log.
     ASSERT_TRUE(daemon.wait_for_line({"event=departure", "runner=never-seen"})) << daemon.log();
     EXPECT_FALSE(daemon.has_line({"event=departure", "runner=gone-"})) << daemon.log();
 }
@@ -289,13 +289,13 @@
 {
     const daemon_run daemon{"serve", settings_on_copy()};
     ASSERT_TRUE(daemon.wait_for_line({"event=in_force", "revision=9"})) << daemon.log();
-    // The claims were made by a clock far ahead, so that they are always within their day.
+    // The claims were made with a clock set far in the future, so they are always within their day.
     for (const auto* key : {"before-the-snapshot", "after-the-snapshot"}) {
         const auto headers = fmt::format("Authorization: Bearer secret\r\nIdempotency-Key: {}\r\n"
                                          "Cedarpoint-Not-Repeatable: true\r\n",
                                          key);
         http_answer answer;
-        // Until the daemon leads its domain it can't ask who has the claim.
+        // Until the daemon leads its failure domain it can't look up the claim.
         ASSERT_TRUE(wait_until([&] {
             answer = call(callers, "POST", "/shop/order", headers, "x");
             return answer.head.status != 503;
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -1,9 +1,9 @@
-// A seeded soak: real processes, a proxy between control daemons and all others, signals from
-// outside, requests and changes all the while. Every third seed has a request that ends each runner
-// which runs it; every second one suspends machines where the others pause processes; in every
-// fifth one runners turn entry daemons away and ask them for pauses. By hand:
+// Seeded soak test: real processes, a proxy in front of each control daemon's mesh address,
+// signals, and continuous requests and configuration changes. Every third seed sends a request that
+// crashes each runner that runs it. Every second seed simulates suspended machines instead of
+// stopped processes. In every fifth seed runners reject entry daemons with a pause. Manual run:
 //     SOAK_FIRST=100 SOAK_COUNT=50 build/cedarpoint_tests --gtest_filter='*fleet_soak*'
-// A seed that ever failed is added to `kept_seeds` with a line on the cause.
+// Add each seed that fails to `kept_seeds`, with its cause.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -37,8 +37,8 @@
 constexpr int entry_count = 2;
 constexpr int rounds = 14;
 
-/// A request that ends each runner which runs it; once three have ended and the daemons have been
-/// in touch for so long, it arrives at three more at most.
+/// Body of a request that crashes each runner that runs it. Once it has crashed `most_ends` runners
+/// and the daemons have been connected for `contact_time`, it reaches at most `most_ends` more.
 const std::string crashing_body = "ends-runners";
 constexpr std::size_t most_ends = 3;
 constexpr duration contact_time = seconds{3};
@@ -97,8 +97,8 @@
         }
     }
 
-    /// One runner turns one entry daemon away. Has draws of its own: the others of a seed stay as
-    /// they are without it.
+    /// Makes one runner reject one entry daemon with a pause. Uses its own random generator, so
+    /// that the other random choices of a seed do not change.
     void ask_for_pause()
     {
         auto& chosen = *pauses[pause_random() % pauses.size()];
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The daemon begins anew.
+    /// Starts the daemon again after it has ended.
     void restart(int which)
     {
         fleet.start(which, false);
@@ -231,7 +231,8 @@
         return whole;
     }
 
-    /// Its status. Draws nothing: the other draws of a seed stay as they are without it.
+    /// Sends the crashing request and returns the status. Uses no random numbers, so that the
+    /// random choices of a seed do not change.
     int send_crashing_request()
     {
         const int sender = ++crashing_sent % entry_count;
@@ -253,7 +254,7 @@
         return out;
     }
 
-    /// In calm times: it is refused soon, and stays so.
+    /// Expects, without injected faults, that the crashing request is soon rejected permanently.
     void expect_quarantine(const std::string& story)
     {
         pass_time(milliseconds{std::chrono::duration_cast<milliseconds>(contact_time)});
