--- a/tests/compat/compat_support.h
+++ b/tests/compat/compat_support.h
@@ -45,10 +45,11 @@
     void signal(int number) const;
     /// Returns all text on standard output and standard error so far.
     [[nodiscard]] std::string log() const;
-    /// Waits for a log line that contains all of `parts`; returns false on a timeout.
+    /// Waits for a log line that contains all of `parts`; returns false on a timeout
+    /// or if the process ends without one.
     [[nodiscard]] bool wait_for_line(const std::vector<std::string>& parts) const;
     [[nodiscard]] bool has_line(const std::vector<std::string>& parts) const;
-    /// Waits for the process to end. Returns its exit code; -1 on a timeout.
+    /// Waits for the process to end. Returns its exit code; -1 on a timeout or a crash.
     int wait_ended();
 
 private:
