--- a/include/cedarpoint/consensus/election_status.h
+++ b/include/cedarpoint/consensus/election_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a member of a log knows of its elections, for people who look for the reason why there is no
-// leader.
+// The election state of one member of a log, reported so that operators can find out why a log has
+// no leader.
 
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/core/time.h"
@@ -13,33 +13,33 @@
 
 namespace cedarpoint {
 
-/// A voter or learner of one log; the id of its daemon, with or without a disk.
+/// Identifies a voter or learner of one log by the id of its daemon, which may have no disk.
 using member_id = id<struct member_tag>;
 
-/// Why a member refuses its vote.
+/// The reason why a member refuses to vote for a candidate.
 enum class vote_refusal {
-    none,             ///< it grants it
-    follows_leader,   ///< it leads, or has heard from a leader within an election timeout
-    lease_may_run,    ///< it has started lately, and may have granted a lease before
-    candidate_behind, ///< the candidate's log is older than its own
-    not_whole,        ///< it may have lost what it had stored, and has not caught up
-    old_term,         ///< the candidate's term is not above its own
-    voted_already     ///< for another candidate, in this term
+    none,             ///< the vote is granted
+    follows_leader,   ///< it leads, or received an append within an election timeout
+    lease_may_run,    ///< a lease granted before its restart may not have expired
+    candidate_behind, ///< the candidate's log is older than the member's
+    not_whole,        ///< it may have lost stored state and has not caught up
+    old_term,         ///< the candidate's term is too old
+    voted_already     ///< it voted for another candidate in this term, or is no follower
 };
 
 [[nodiscard]] std::string_view name_of(vote_refusal in);
 
-/// What a member knows of another one since it has started.
+/// What one member has recorded about another since its own start.
 struct election_contact {
-    std::optional<instant> heard;                    ///< its latest message of any kind
-    int votes_asked = 0;                             ///< votes and pre-votes that it was asked for
-    int votes_granted = 0;                           ///< of these
-    int votes_refused = 0;                           ///< of these; the others were not answered
-    int votes_taken = 0;                             ///< that it asked for itself
-    vote_refusal latest_answer = vote_refusal::none; ///< to the latest of those
+    std::optional<instant> heard; ///< when its latest message of any kind arrived
+    int votes_asked = 0;          ///< votes and pre-votes requested from it
+    int votes_granted = 0;        ///< of these
+    int votes_refused = 0;        ///< of these; the rest are unanswered
+    int votes_taken = 0;          ///< votes and pre-votes that it requested
+    vote_refusal latest_answer = vote_refusal::none; ///< the answer to its latest request
 };
 
-/// The state of a member's elections.
+/// The election state of a member.
 struct election_status {
     struct peer {
         member_id member;
@@ -51,10 +51,10 @@
     std::uint64_t term = 0;
     std::uint64_t last_term = 0; ///< of the last entry
     std::uint64_t last_index = 0;
-    bool whole = false; ///< it has all that it ever stored
+    bool whole = false; ///< it holds all state that it ever stored
     bool voter = false;
     duration until_election{};
-    duration until_vote{}; ///< it votes for nobody before
+    duration until_vote{}; ///< the time for which it still refuses all votes
     std::vector<peer> peers;
 };
 
--- a/include/cedarpoint/consensus/membership_policy.h
+++ b/include/cedarpoint/consensus/membership_policy.h
@@ -7,41 +7,42 @@
 
 namespace cedarpoint {
 
-// Who votes in a log whose control daemons come and go. The leader changes one member at a time, in
-// this order: it promotes a learner while voters are missing; it demotes a silent voter that a
-// learner can replace; it removes a silent learner. A daemon that is no member asks to join and
-// becomes a learner. A voter that is gone for good is thus replaced, so that the log stays able to
-// bear the next loss.
+// Selects the voters of a log whose control daemons may be added, lost or replaced. The leader
+// changes one member at a time, in this order: it promotes a learner while there are too few
+// voters; it demotes an unresponsive voter that a learner can replace; it removes an unresponsive
+// learner. A daemon that is not a member asks to join and becomes a learner. A voter that is lost
+// permanently is thus replaced, so that the log can tolerate the next loss.
 
-/// Voters that a log needs so that `losses` of them may be lost at once.
+/// Returns the number of voters with which a log tolerates `losses` simultaneous losses.
 [[nodiscard]] constexpr std::size_t voters_for(std::size_t losses)
 {
     return 2 * losses + 1;
 }
 
-/// The learner that the leader should make a voter now; empty while there is none. Only a learner
-/// that follows closely, and only while voters are wanted. From an odd number of voters to an even
-/// one only if a second learner is ready to follow: an even number bears no loss more.
+/// Returns the learner that the leader should promote to voter now; empty if there is none. Only a
+/// learner whose log is nearly up to date is promoted, and only while there are fewer voters than
+/// wanted. An odd number of voters becomes even only if a second learner is ready to be promoted
+/// next, because an even number tolerates no more losses than the odd number below it.
 [[nodiscard]] std::optional<member_id> next_promotion(instant now, const raft_node& leader,
                                                       std::size_t wanted_voters);
 
-/// The voter that the leader should make a learner now, because it has been silent and a learner
-/// can take its place; empty if there is none. One that comes back follows as a learner.
+/// Returns the voter that the leader should demote to learner now, because it does not respond and
+/// a learner can replace it; empty if there is none. If it returns, it continues as a learner.
 [[nodiscard]] std::optional<member_id> next_demotion(instant now, const raft_node& leader,
                                                      std::size_t wanted_voters);
 
-/// A learner that has been silent for so long that it is no longer kept as a member; empty if there
-/// is none. It asks to join if it comes back.
+/// Returns a learner that has not responded for so long that the leader should remove it; empty if
+/// there is none. If it returns, it asks to join again.
 [[nodiscard]] std::optional<member_id> next_removal(instant now, const raft_node& leader);
 
-/// One change of the members.
+/// A change to one member.
 struct membership_change {
     enum class kind_t { promote, demote, remove };
     kind_t kind = kind_t::promote;
     member_id member;
 };
 
-/// The change that the leader should make now, by the order above; empty if there is none.
+/// Returns the change that the leader should make now, in the order above; empty if there is none.
 [[nodiscard]] std::optional<membership_change>
 next_membership_change(instant now, const raft_node& leader, std::size_t wanted_voters);
 
--- a/include/cedarpoint/consensus/raft_node.h
+++ b/include/cedarpoint/consensus/raft_node.h
@@ -18,34 +18,34 @@
 
 namespace cedarpoint {
 
-/// What a member without any stored state may assume about earlier votes and entries.
+/// What a member without stored state may assume about its earlier votes and entries.
 enum class start_mode {
-    unknown, ///< new, or its disk was lost: it helps to begin a log only if all voters take part
+    unknown, ///< new, or its disk was lost: it may elect a log's first leader only with all voters
     first,   ///< the whole system starts for the first time: no member has voted or stored anything
     later    ///< the system has run before: it votes only after it has caught up with a leader
 };
 
-/// Times and bounds of one log.
+/// Intervals and limits of one log.
 struct raft_options {
-    /// The shortest; each timeout is drawn from one to two times this. Control daemons of a fleet
-    /// set a shorter one.
+    /// The minimum; each timeout is drawn at random between one and two times this value. The
+    /// control daemons of a fleet set a shorter one.
     duration election_timeout = milliseconds{1000};
-    /// Between two appends of a leader to each member.
+    /// The interval between a leader's appends to each member.
     duration heartbeat = milliseconds{200};
-    /// Two daemons' clocks run apart by at most this over an election timeout.
+    /// The maximum clock drift between two daemons over an election timeout.
     duration drift = milliseconds{100};
-    /// Entries in one append.
+    /// The maximum number of entries in one append.
     std::size_t max_batch_entries = 256;
-    /// Between two sendings of the snapshot to the same follower.
+    /// The minimum time between two transfers of the snapshot to the same follower.
     duration snapshot_interval = seconds{1};
     start_mode start = start_mode::unknown;
 };
 
-/// The stored state that a member starts from.
+/// The stored state from which a member starts.
 struct raft_state {
     wire::hard_state hard;
-    wire::log_snapshot snapshot;          ///< index 0: none
-    std::vector<wire::log_entry> entries; ///< after the snapshot
+    wire::log_snapshot snapshot;          ///< index 0 if there is none
+    std::vector<wire::log_entry> entries; ///< those after the snapshot
     [[nodiscard]] bool is_fresh() const
     {
         return hard.term() == 0 && snapshot.index() == 0 && entries.empty();
@@ -58,8 +58,8 @@
     wire::raft_message message;
 };
 
-/// The output of a call, to be carried out in this order: make `batch` and `install` durable, send
-/// the messages, apply the committed entries.
+/// The output of a call. The owner must process it in this order: make `batch` and `install`
+/// durable, send the messages, apply the committed entries.
 struct raft_output {
     wire::storage_batch batch;
     bool has_batch = false;
@@ -71,69 +71,72 @@
 /// One member of one replicated log: elections with pre-vote, replication, snapshots, membership
 /// changes one at a time, leader lease and grants to followers.
 /// Owns: the log after the last snapshot, the snapshot and the hard state, in memory.
-/// Relies on: its owner to call `take_output` after each call and carry it out, and on clocks that
-/// run apart by no more than `raft_options::drift`. No I/O; time is an argument.
+/// Relies on: its owner, which calls `take_output` after each call and processes the output; clocks
+/// that drift apart by at most `raft_options::drift`. Performs no I/O; time is an argument.
 class raft_node {
 public:
     enum class role { follower, pre_candidate, candidate, leader };
 
-    /// A member without any state may be new, or may have lost its disk with its votes and entries.
-    /// So it does not vote until it has caught up with a leader; and the first leader of a log
-    /// needs the votes of all voters, which proves that none of them has stored anything.
-    /// `bootstrap` is the membership of a log without any entry.
+    /// A member without state may be new, or may have lost its disk and with it its votes and
+    /// entries. It therefore does not vote until it has caught up with a leader. The exception is
+    /// the first leader of a log, which needs the votes of all voters: they prove that none of them
+    /// has stored anything. `bootstrap` is the membership of a log that has no entries.
     raft_node(instant now, member_id self, const wire::membership& bootstrap, raft_state state,
               raft_options options, std::uint64_t seed);
 
     void tick(instant now);
-    /// A write of this member's state took so long; its elections wait for slower disks.
+    /// Records the duration of a write of this member's state; slow writes lengthen its election
+    /// timeouts.
     void note_write(instant now, duration took);
     void receive(instant now, const member_id& from, const wire::raft_message& message);
-    /// Appends a command; its index, or empty if this is not the leader.
+    /// Appends a command. Returns its index; empty if this member is not the leader.
     std::optional<std::uint64_t> propose(instant now, std::string command);
-    /// Adds, promotes or removes one member. False while an earlier change is not committed.
+    /// Adds, promotes, demotes or removes one member. Returns false if this member does not lead,
+    /// has not committed an entry of its own term, or an earlier change is not committed yet.
     bool change_membership(instant now, const member_id& member, bool present, bool voter);
-    /// Makes `state`, the state machine's at the applied entry `index`, the snapshot and drops the
-    /// entries up to it.
+    /// Replaces the snapshot by `state`, the state machine's state after entry `index`, and removes
+    /// the entries up to `index`.
     void compact(std::uint64_t index, std::string state);
     [[nodiscard]] raft_output take_output();
 
     [[nodiscard]] role at() const { return role_; }
     [[nodiscard]] bool is_leader() const { return role_ == role::leader; }
-    /// The leader of the last append; empty if none is known or none sent one for two election
-    /// timeouts.
+    /// Returns the sender of the latest append or snapshot; empty if no leader is known or none was
+    /// received within two election timeouts.
     [[nodiscard]] const member_id& leader() const { return leader_; }
     [[nodiscard]] std::uint64_t term() const { return hard_.term(); }
     [[nodiscard]] std::uint64_t commit() const { return commit_; }
     [[nodiscard]] std::uint64_t last_index() const;
     [[nodiscard]] std::uint64_t first_index() const { return snapshot_.index() + 1; }
-    /// True while no other leader can exist: reads here are current, and orders may be given.
-    /// Needs an entry of its own term committed.
+    /// Returns true while no other leader can exist: local reads are then current, and orders may
+    /// be sent. Requires that an entry of this leader's own term is committed.
     [[nodiscard]] bool holds_lease(instant now) const;
-    /// The latest time, by this member's clock, at which its applied state is known to have been
-    /// the leader's; a leader under its lease: `now`. Empty: none. Targets from that state are
-    /// valid until this plus the grant's lifetime.
+    /// Returns the latest time, by this member's clock, at which its applied state is known to have
+    /// been current at a leader that held its lease; `now` on such a leader itself; empty if there
+    /// is none. Targets from that state are valid until this time plus the grant's lifetime.
     [[nodiscard]] std::optional<instant> granted_at(instant now) const;
     [[nodiscard]] const wire::membership& members() const { return members_; }
     [[nodiscard]] bool is_member(const member_id& it) const;
     [[nodiscard]] bool is_voter(const member_id& it) const;
-    /// Leader: the last index known to be on the member; 0 if nothing is known.
+    /// Leader only: returns the last index known to be stored on the member; 0 if unknown.
     [[nodiscard]] std::uint64_t match_of(const member_id& it) const;
-    /// Leader: the time since the sending of the last append that the member answered, or since the
-    /// beginning of the term if it answered none.
+    /// Leader only: returns the time since it sent the latest append that the member answered, or
+    /// since it became leader if the member answered none.
     [[nodiscard]] duration silence_of(instant now, const member_id& it) const;
-    /// Leader: when the last answered append was sent; empty if none was answered in this term.
+    /// Leader only: returns when it sent the latest append that the member answered; empty if the
+    /// member answered none in this term.
     [[nodiscard]] std::optional<instant> heard_from(const member_id& it) const;
     [[nodiscard]] election_status elections(instant now) const;
     [[nodiscard]] const wire::log_snapshot& snapshot() const { return snapshot_; }
-    /// Everything durable that is not in the snapshot.
+    /// Returns the durable state that is not part of the snapshot: hard state and later entries.
     [[nodiscard]] wire::storage_batch rest() const;
 
 private:
     struct progress {
         std::uint64_t next = 1;
         std::uint64_t match = 0;
-        bool probing = true;          ///< the last matching index is unknown: one append at a time
-        std::optional<instant> acked; ///< this clock at the sending of the latest answered append
+        bool probing = true; ///< the last matching index is unknown; `next` does not advance
+        std::optional<instant> acked; ///< when the latest answered append was sent
         std::int64_t follower_stamp = 0;
         std::optional<instant> snapshot_sent;
     };
@@ -143,8 +146,9 @@
     void start_election(instant now);
     void become_leader(instant now);
     void arm_election(instant now);
-    /// The election timeout, and longer while the disk is slow: a vote waits for two writes, and a
-    /// leader is silent during one. Leases go by the election timeout itself.
+    /// Returns the election timeout, extended while the disk is slow: a vote takes two writes, and
+    /// a leader sends nothing during a write. Leases use the election timeout without the
+    /// extension.
     [[nodiscard]] duration patience() const;
     void count_vote(instant now, const member_id& from);
 
@@ -169,9 +173,10 @@
     void save_hard_state();
     [[nodiscard]] election_contact& contact_of(const member_id& it);
     void refresh_members();
-    /// `none` if it may vote for anybody now; whatever the candidate.
+    /// Returns why this member refuses every candidate now; `none` if it does not.
     [[nodiscard]] vote_refusal why_no_vote(instant now) const;
-    /// The same for this candidate, whatever its term.
+    /// Returns why this member refuses this candidate, without regard to terms; `none` if it does
+    /// not.
     [[nodiscard]] vote_refusal why_no_vote_for(instant now, const wire::raft_message& in) const;
     [[nodiscard]] vote_refusal judge_vote(instant now, const member_id& from,
                                           const wire::raft_message& in) const;
@@ -181,10 +186,12 @@
     [[nodiscard]] std::uint64_t last_term() const;
     [[nodiscard]] std::optional<std::uint64_t> term_at(std::uint64_t index) const;
     [[nodiscard]] std::size_t quorum() const;
-    /// A random part of a third of the election timeout, to separate daemons that start together.
+    /// Returns a random delay of up to a third of the election timeout, which separates the
+    /// elections of daemons that start at the same time.
     duration short_delay();
     [[nodiscard]] instant lease_basis(instant now) const;
-    /// True for a leader whose appends a quorum has answered within its patience.
+    /// Returns true for a leader whose appends a quorum has answered within the extended election
+    /// timeout.
     [[nodiscard]] bool is_upheld(instant now) const;
     [[nodiscard]] const wire::log_entry& entry_at(std::uint64_t index) const;
 
@@ -202,10 +209,10 @@
     role role_ = role::follower;
     member_id leader_;
     std::uint64_t commit_ = 0;
-    std::uint64_t term_start_ = 0; ///< leader: index of the first entry of its term
+    std::uint64_t term_start_ = 0; ///< on a leader: the index of the first entry of its term
     std::set<member_id> votes_;
-    std::map<member_id, election_contact> contacts_; ///< members only
-    election_contact stranger_;                      ///< of all others
+    std::map<member_id, election_contact> contacts_; ///< of members only
+    election_contact stranger_;                      ///< of all other senders together
     std::map<member_id, progress> progress_;
     recent_maximum slowest_write_;
     instant election_at_;
@@ -213,7 +220,7 @@
     instant lead_since_;
     std::optional<instant> leader_heard_;
     instant started_;
-    instant no_vote_until_; ///< a lease from before this voter's restart may still run
+    instant no_vote_until_; ///< until then a lease granted earlier may not have expired
     std::optional<instant> granted_;
     std::uint64_t granted_commit_ = 0;
 
--- a/include/cedarpoint/consensus/replicated_log.h
+++ b/include/cedarpoint/consensus/replicated_log.h
@@ -21,25 +21,27 @@
     replicated_state& operator=(const replicated_state&) = delete;
     virtual ~replicated_state() = default;
 
-    /// Applies one command. The result is the answer for the proposer, if it is on this daemon.
+    /// Applies one command. The result goes to the proposer if it is on this daemon.
     virtual std::string apply(const std::string& command) = 0;
     [[nodiscard]] virtual std::string save() const = 0;
-    /// False if `bytes` are not a saved state; nothing is changed then.
+    /// Returns false and changes nothing if `bytes` are not a saved state.
     virtual bool restore(const std::string& bytes) = 0;
 };
 
-/// One daemon's replica of one log: it carries out the raft node's output on disk, network and
-/// state machine. Entries and votes are durable before a message is sent or an entry applied.
+/// One daemon's replica of one log. It applies the output of the raft node to the disk, the network
+/// and the state machine. Entries and votes are durable before a message is sent or an entry
+/// applied.
 ///
-/// While the disk refuses writes the replica stands still: what the raft node put out stays here
-/// and is written again until it succeeds; meanwhile nothing is sent, answered or taken, as if the
-/// process were paused. So it votes for and acknowledges nothing that is not durable, loses its
-/// lease if it leads, and goes on when a write works. Owns: the raft node and the log store. Relies
-/// on: the state machine and the sender, which it refers to, and on `tick` at short intervals.
+/// While writes to the disk fail, the replica stops: it keeps the output of the raft node and
+/// retries the write until it succeeds. Until then it sends nothing and ignores messages and
+/// proposals, as if the process were paused. It thus never votes or acknowledges entries before
+/// they are durable, loses its lease if it leads, and resumes after a successful write. Owns: the
+/// raft node and the log store. Relies on: the state machine, which it refers to; the sender; calls
+/// of `tick` at short intervals.
 class replicated_log {
 public:
-    /// Called with the answer once the command is applied; empty if it is unknown whether it will
-    /// be.
+    /// Called with the answer once the command is applied, or with an empty one if it is unknown
+    /// whether the command will be applied.
     using answer_handler = std::function<void(std::optional<std::string>)>;
     using sender = std::function<void(const member_id&, const wire::raft_message&)>;
 
@@ -48,33 +50,35 @@
         wire::membership bootstrap;
         raft_options raft;
         std::uint64_t seed = 1;
-        /// Read before and after each write to the disk; empty: writes count as taking no time.
+        /// Called before and after each disk write to measure it; if empty, writes are not
+        /// measured.
         std::function<instant()> clock;
-        /// With a disk: a snapshot is taken once the log file is larger than this (4 MiB).
+        /// With a disk: the size of the log file, in bytes, above which a snapshot is taken (4
+        /// MiB).
         std::uint64_t snapshot_bytes = 4 << 20;
-        /// Without a disk: a snapshot is taken once more entries than this came after the last one.
+        /// Without a disk: the number of entries since the last snapshot above which one is taken.
         std::uint64_t snapshot_entries = 20'000;
     };
 
-    /// `files` null: nothing outlives the process. Null with `why` if the folder is damaged or
-    /// can't be read.
+    /// Opens the replica. If `files` is null, it stores nothing durably. Returns null and sets
+    /// `why` if the folder is damaged or can't be read.
     static std::unique_ptr<replicated_log> open(instant now, options options, file_system* files,
                                                 const std::string& folder, replicated_state& state,
                                                 sender send, reason& why);
 
     void tick(instant now);
     void receive(instant now, const member_id& from, const wire::raft_message& message);
-    /// False if this is not the leader; then `done` is not called.
+    /// Returns false, without calling `done`, if this replica does not lead or has stopped.
     bool propose(instant now, std::string command, answer_handler done);
     /// See raft_node::change_membership.
     bool change_membership(instant now, const member_id& member, bool present, bool voter);
 
     [[nodiscard]] const raft_node& raft() const { return raft_; }
-    /// Set once the replica can't go on, also later: the process should end. Empty: no failure.
+    /// Returns the permanent failure after which the process should end; empty if there is none.
     [[nodiscard]] const std::optional<reason>& failure() const { return failure_; }
-    /// Why the disk refuses writes at present; empty while it takes them.
+    /// Returns why the latest disk write failed; empty if it succeeded.
     [[nodiscard]] const std::optional<reason>& refused_write() const { return refused_write_; }
-    /// Index of the last applied entry; 0 without any.
+    /// Returns the index of the last applied entry; 0 if there is none.
     [[nodiscard]] std::uint64_t applied() const { return applied_; }
 
 private:
@@ -86,13 +90,13 @@
     replicated_log(instant now, options options, raft_state loaded,
                    std::unique_ptr<log_store> store, replicated_state& state, sender send);
     void carry_out();
-    /// Makes the output durable, then sends its messages and applies its entries. False if it was
-    /// held back: the disk refused it.
+    /// Makes the output durable, then sends its messages and applies its entries. Returns false and
+    /// keeps the output for a retry if the write failed.
     bool carry_out(const raft_output& out);
-    /// False while the output that is held back can't be written.
+    /// Retries the write of the output that was kept. Returns false while some is still unwritten.
     bool write_held_back(instant now);
     bool persist(const raft_output& out);
-    /// The same, and tells the raft node how long the disk took.
+    /// Calls `persist` and reports the duration of the write to the raft node.
     bool persist_timed(const raft_output& out);
     bool rewrite(const wire::log_snapshot& snapshot);
     [[nodiscard]] bool is_stopped() const { return failure_ || held_back_; }
@@ -109,9 +113,9 @@
     std::uint64_t applied_ = 0;
     std::optional<reason> failure_;
     std::optional<reason> refused_write_;
-    std::optional<raft_output> held_back_; ///< output of the raft node that the disk refused
+    std::optional<raft_output> held_back_; ///< output whose write failed
     instant write_again_at_;
-    bool snapshot_unsaved_ = false; ///< the raft node's snapshot is later than the one on disk
+    bool snapshot_unsaved_ = false; ///< the raft node's snapshot is newer than the stored one
     instant compact_again_at_;
     bool busy_ = false;
 };
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -5,13 +5,13 @@
 namespace cedarpoint {
 namespace {
 
-/// A learner that is to vote must have answered within this.
+/// A learner is promoted only if it answered an append sent within this time.
 constexpr duration ready_silence = seconds{1};
-/// Entries of the log that it may be behind.
+/// A learner is promoted only if it lacks at most this many log entries.
 constexpr std::uint64_t ready_lag = 64;
-/// A voter that was silent for this long gives its place to a learner.
+/// A voter that has not answered for longer than this is replaced by a learner.
 constexpr duration voter_silence = seconds{3};
-/// A learner that was silent for this long is removed.
+/// A learner that has not answered for longer than this is removed.
 constexpr duration learner_silence = seconds{60};
 
 bool follows_closely(instant now, const raft_node& leader, const member_id& member)
@@ -21,7 +21,7 @@
            leader.match_of(member) + ready_lag >= leader.last_index();
 }
 
-/// The members by what may be done with them.
+/// The members, grouped by the membership change that applies to them.
 struct member_overview {
     std::size_t voters = 0;
     std::vector<member_id> ready_learners;
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -6,19 +6,21 @@
 namespace cedarpoint {
 namespace {
 
-/// At the first start of a system the first election comes after one heartbeat and a random part of
-/// an election timeout divided by this.
+/// At the first start of a system the first election begins after one heartbeat interval and a
+/// random delay of up to the election timeout divided by this.
 constexpr int first_start_parts = 2;
-/// A random delay of up to an election timeout divided by this separates daemons that restart
-/// together.
+/// Daemons that restart at the same time are separated by a random delay of up to the election
+/// timeout divided by this.
 constexpr int restart_parts = 3;
-/// A follower forgets its leader after this many election timeouts without an append.
+/// A follower no longer reports a leader after this many extended election timeouts without an
+/// append or snapshot from it.
 constexpr int leader_silence_timeouts = 2;
-/// A disk that takes less than this part of an election timeout for a write is not slow.
+/// A write that takes less than the election timeout divided by this does not count as slow.
 constexpr int quick_write_parts = 4;
-/// Between asking for a vote and having it: the candidate's write and the voter's.
+/// The writes between the request for a vote and its arrival: the candidate's and the voter's.
 constexpr int writes_of_a_vote = 2;
-/// Bounds what a slow disk adds to the time without a leader, in election timeouts.
+/// The upper limit of the extended election timeout, in election timeouts. It limits how long a log
+/// with slow disks stays without a leader.
 constexpr int longest_patience_timeouts = 8;
 
 } // namespace
@@ -34,15 +36,16 @@
     refresh_members();
     arm_election(now);
     if (hard_.term() > 0) {
-        // Before its restart this voter may have answered a leader whose lease still runs. After an
-        // election timeout that lease has expired, unless a heartbeat came: an election may start.
+        // Before its restart this voter may have answered a leader whose lease has not expired yet.
+        // After an election timeout that lease has expired unless a heartbeat arrived, so an
+        // election may start.
         no_vote_until_ = now + options_.election_timeout;
         election_at_ = no_vote_until_ + short_delay();
     }
     if (options_.start == start_mode::first && hard_.term() == 0 && last_index() == 0) {
         hard_.set_whole(true);
         save_hard_state();
-        // There can be no leader yet: wait only for the other voters to start.
+        // No leader can exist yet; only the start of the other voters has to be awaited.
         std::uniform_int_distribution<std::int64_t> spread(0, options_.election_timeout.count());
         election_at_ = now + options_.heartbeat + duration{spread(random_) / first_start_parts};
     }
@@ -325,7 +328,7 @@
     if (!hard_.whole() && in.commit() > 0 && commit_ >= in.commit()) {
         hard_.set_whole(true);
         save_hard_state();
-        no_vote_until_ = now + options_.election_timeout; // a vote from before may be in flight
+        no_vote_until_ = now + options_.election_timeout; // an earlier vote may be in flight
     }
 }
 
--- a/src/consensus/raft_node_elections.cpp
+++ b/src/consensus/raft_node_elections.cpp
@@ -70,7 +70,7 @@
     entry.set_term(hard_.term());
     entry.set_index(last_index() + 1);
     if (last_index() == 0) {
-        *entry.mutable_members() = members_; // after a restart the log alone has to name them
+        *entry.mutable_members() = members_; // after a restart only the log lists the members
     }
     term_start_ = entry.index();
     append_entry(std::move(entry));
@@ -118,7 +118,7 @@
     if (!is_up_to_date(in)) {
         return vote_refusal::candidate_behind;
     }
-    // A voter without stored state may only vote to begin a log that no voter has stored.
+    // A voter that may have lost stored state may vote only for the first leader of an empty log.
     const bool begins_log =
         options_.start != start_mode::later && in.last_index() == 0 && last_index() == 0;
     return hard_.whole() || begins_log ? vote_refusal::none : vote_refusal::not_whole;
@@ -153,7 +153,7 @@
     ++contact.votes_taken;
     contact.latest_answer = why_no_vote(now);
     if (contact.latest_answer != vote_refusal::none) {
-        return; // it follows a leader, or a lease from before its restart may still run
+        return; // it follows a leader, or an earlier lease may not have expired
     }
     if (in.term() > hard_.term()) {
         become_follower(now, in.term(), {});
@@ -180,7 +180,7 @@
     auto& contact = contact_of(from);
     ++(in.ok() ? contact.votes_granted : contact.votes_refused);
     const auto asked = in.kind() == msg::vote_reply ? role::candidate : role::pre_candidate;
-    // A granted pre-vote carries the voter's own term, which may be older than ours.
+    // A granted pre-vote carries the voter's own term, which may be older than this member's.
     const bool current = in.kind() == msg::pre_vote_reply || in.term() == hard_.term();
     if (in.ok() && role_ == asked && current) {
         count_vote(now, from);
--- a/src/consensus/raft_node_priv.h
+++ b/src/consensus/raft_node_priv.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Shared by the parts of raft_node; not for others.
+// Private declarations shared by the source files of raft_node.
 
 #include "cedarpoint/consensus/raft_node.h"
 
--- a/src/consensus/raft_node_replication.cpp
+++ b/src/consensus/raft_node_replication.cpp
@@ -90,7 +90,7 @@
         on_install(now, from, in);
         break;
     default:
-        break; // of a newer version
+        break; // a kind that a newer version sends
     }
 }
 
@@ -123,7 +123,7 @@
     auto prev = in.prev_index();
     int skip = 0;
     if (prev < commit_) {
-        // Committed entries match; a late append may begin before them.
+        // Committed entries always match; a delayed append may begin before the commit index.
         skip = static_cast<int>(std::min<std::uint64_t>(commit_ - prev, in.entries().size()));
         prev += static_cast<std::uint64_t>(skip);
     }
@@ -152,7 +152,7 @@
 void raft_node::note_grant(instant now, const msg& in)
 {
     const auto stamp = from_stamp(in.follower_stamp());
-    const bool own = stamp >= started_ && stamp <= now; // not of an earlier process
+    const bool own = stamp >= started_ && stamp <= now; // not a stamp of an earlier process
     if (in.follower_stamp() != 0 && own && (!granted_ || stamp > *granted_)) {
         granted_ = stamp;
         granted_commit_ = in.commit();
@@ -169,8 +169,8 @@
     leader_heard_ = now;
     const auto& taken = in.snapshot();
     if (term_at(taken.index()) == taken.term()) {
-        // The log reaches at least as far; dropping its tail could lose entries that this member
-        // acknowledged.
+        // The log already contains the snapshot's last entry; discarding the entries after it could
+        // lose some that this member has acknowledged.
         advance_commit(std::max(commit_, taken.index()));
     }
     else if (taken.index() > commit_) {
@@ -201,8 +201,8 @@
     it.acked = it.acked ? std::max(*it.acked, sent) : sent;
     it.follower_stamp = in.follower_stamp();
     if (!in.ok()) {
-        // Only the refusal of the latest append moves `next`: if late and doubled refusals each
-        // caused another append, messages would multiply.
+        // Only a refusal of the latest append changes `next`: if delayed or duplicate refusals also
+        // triggered appends, the number of messages would multiply.
         const bool stale = it.probing ? in.prev_index() + 1 != it.next : in.prev_index() >= it.next;
         if (!stale) {
             it.probing = true;
@@ -234,11 +234,12 @@
         return;
     }
     const auto to = matched[quorum() - 1];
-    // Only the commit of an entry of its own term guarantees that no later leader overwrites it.
+    // Only an entry of the leader's own term may be committed by counting replicas; an entry of an
+    // earlier term could still be overwritten by a later leader.
     if (to > commit_ && term_at(to) == hard_.term()) {
         advance_commit(to);
         if (members_index_ <= commit_ && !is_voter(self_)) {
-            role_ = role::follower; // its own removal is committed
+            role_ = role::follower; // its own removal or demotion is committed
             leader_ = {};
         }
     }
@@ -255,7 +256,8 @@
 
 std::optional<std::uint64_t> raft_node::propose(instant now, std::string command)
 {
-    // After a pause this may be a deposed leader, whose entries would be of an old term.
+    // After a pause of the process this member may have been replaced as leader; entries that it
+    // appended would then have an old term.
     if (!is_upheld(now)) {
         return {};
     }
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -5,11 +5,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two attempts to write what the disk refused; one that fails costs one
-/// system call.
+/// The interval between retries of a failed write. A failed attempt costs one system call.
 constexpr duration write_interval = milliseconds{100};
 
-/// The same for a snapshot, which nothing waits for.
+/// The interval between retries of a failed snapshot write, on which no operation waits.
 constexpr duration compaction_interval = seconds{1};
 
 } // namespace
@@ -93,7 +92,7 @@
 void replicated_log::carry_out()
 {
     if (busy_ || is_stopped()) {
-        return; // reentered from an answer handler; the outer call continues
+        return; // called from an answer handler: the outer call processes the new output
     }
     busy_ = true;
     for (auto out = raft_.take_output();
@@ -239,7 +238,8 @@
         raft_.compact(applied_, state_.save());
         snapshot_unsaved_ = true;
     }
-    // Until the snapshot is saved the log on disk holds all that it stands for.
+    // A failed write is retried later: until then the stored log still holds all entries that the
+    // snapshot covers.
     if (snapshot_unsaved_ && !rewrite(raft_.snapshot())) {
         compact_again_at_ = now + compaction_interval;
     }
