--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -22,46 +22,48 @@
 
 namespace cedarpoint {
 
-/// One state change of a group, for the log.
+/// A state change of a group, as it is logged.
 struct group_event {
     group_id group;
-    std::string state; ///< the new state, or "refused" with why in `reason`
+    std::string state; ///< the new state, or "refused" with the cause in `reason`
     epoch assignment;
     std::string nodes; ///< ids, separated by commas
     std::string reason;
 };
 
-/// The control plane's output and its wall clock.
+/// Callbacks for the control plane's output and for the wall clock.
 struct control_hooks {
-    /// Sends a message to another daemon; it may be lost, doubled or late.
+    /// Sends a message to another daemon. It may be lost, duplicated or delayed.
     std::function<void(const daemon_id&, const wire::envelope&)> send;
-    /// Sends an order to a runner; it is repeated until the runner's reports show it.
+    /// Sends an order to a runner. The order is repeated until the runner's reports confirm it.
     std::function<void(const runner_order&)> order;
     std::function<void(const group_event&)> log;
-    /// Wall time in ms since 1970, for the age of claims only.
+    /// Returns the wall time in milliseconds since 1970. It serves only to determine the age of
+    /// claims.
     std::function<std::uint64_t()> wall_ms;
 };
 
-/// The control side of one daemon that has a list of peers. It decides nothing about one request;
-/// it provides the targets for all of them.
+/// The control plane of one daemon. It provides the targets for all requests and takes no part in
+/// the routing of a single request.
 /// Owns: its replica of the domain's log and, on a root voter, of the root's log, with their
 /// states; the group controller, which works only while this daemon holds the domain's lease; the
 /// last views of the other domains.
-/// Relies on: the owner's calls of `tick` at short intervals, `receive` for each message and
-/// `on_report` for each look at a runner. No I/O: output goes through `control_hooks`.
+/// Relies on: its owner, which calls `tick` at short intervals, `receive` for each message and
+/// `on_report` for each answer of a polled runner. Performs no I/O except through the logs' files:
+/// other output goes through `control_hooks`.
 class control_plane {
 public:
     struct options {
         settings own;
         raft_options raft;
         control_options control;
-        std::uint64_t seed = 1; ///< of election timeouts and call ids; differs at each start
-        /// See `replicated_log::options`.
+        std::uint64_t seed = 1; ///< for election timeouts and call ids; must differ at each start
+        /// See `replicated_log::options::clock`.
         std::function<instant()> clock;
     };
 
-    /// `files` null: no disk, nothing outlives the process. Null with `why` if a log's folder can't
-    /// be read.
+    /// Opens the replicas of the logs. If `files` is null, nothing is stored durably. Returns null
+    /// and sets `why` if a log's folder can't be read.
     static std::unique_ptr<control_plane> open(instant now, options options, file_system* files,
                                                control_hooks hooks, reason& why);
     ~control_plane();
@@ -69,44 +71,47 @@
     control_plane& operator=(const control_plane&) = delete;
 
     void tick(instant now);
-    /// Sends to all peers, of each failure domain.
+    /// Sends to the peers in all failure domains.
     void send_to_all(const wire::envelope& message);
     void receive(instant now, const wire::envelope& in);
-    /// The answer of a runner that this daemon watches (see `watched`).
+    /// Records the report of a runner that this daemon polls (see `watched`).
     void on_report(instant now, const runner_id& runner, const runner_report& report);
 
-    /// Operators' calls, retried for 10 s. An empty answer means that no leader answered in time:
-    /// the command may still be applied, and may be repeated without harm.
+    /// Submits an operator's command, which is retried for 10 s. An empty answer means that no
+    /// leader answered in time: the command may still be applied. Repeating it is safe.
     using answer_handler = log_client::answer_handler;
     void submit_configuration(instant now, wire::config_change change, answer_handler done);
     void submit_drain(instant now, wire::drain_change change, answer_handler done);
-    /// Retried for 3 s; then the verdict is `unavailable`.
+    /// Submits a claim, which is retried for 3 s; after that the verdict is `unavailable`.
     void begin_claim(instant now, const ask_claim& ask, std::function<void(claim_verdict)> done);
-    /// Retried for 60 s; there is no answer.
+    /// Submits the end of a claim, which is retried for 60 s. The outcome is not reported.
     void finish_claim(instant now, const end_claim& end);
 
-    /// True once this daemon has had a grant or the lease since it started.
+    /// Returns true once this daemon has had a grant or the lease since its start.
     [[nodiscard]] bool is_ready(instant now) const;
-    /// All places to send requests to; each is valid until its own `valid_until`.
-    /// `own_in_flight`: this daemon's requests at a runner, which its reports count too.
+    /// Returns all targets for requests; each is valid until its own `valid_until`.
+    /// `own_in_flight` returns the number of this daemon's requests at a runner. It is subtracted
+    /// from the number that the runner reports, which includes them.
     [[nodiscard]] target_table
     targets(instant now, const std::function<int(const runner_id&)>& own_in_flight) const;
-    /// The runners that this daemon has to poll, once per watch interval.
+    /// Returns the runners that this daemon must poll once per watch interval.
     [[nodiscard]] std::vector<runner_spec> watched(instant now) const;
 
     [[nodiscard]] const domain_state& domain() const;
     [[nodiscard]] const replicated_log& domain_log() const { return *domain_log_; }
-    /// Null on a daemon that is no voter of the root's log.
+    /// Returns the replica of the root's log; null unless this daemon is a root voter.
     [[nodiscard]] const replicated_log* root_log() const { return root_log_.get(); }
     [[nodiscard]] const runner_watch& watch() const { return watch_; }
-    /// See raft_node::granted_at, of the domain's log. Empty: no grant yet.
+    /// Returns raft_node::granted_at of the domain's log.
     [[nodiscard]] std::optional<instant> granted_at(instant now) const;
-    /// Accelerators of this domain's present nodes that are in no serving group.
+    /// Returns the number of accelerators on this domain's present nodes that are in no serving
+    /// group.
     [[nodiscard]] int stranded_accelerators(instant now) const;
     [[nodiscard]] const remote_domains& others() const { return others_; }
-    /// Set when the disk has failed: the process must end. Empty: no failure.
+    /// Returns the permanent failure of either log, after which the process must end; empty if
+    /// there is none.
     [[nodiscard]] std::optional<reason> failure() const;
-    /// See replicated_log::refused_write; of either log.
+    /// Returns replicated_log::refused_write of the domain's log or, if empty, of the root's.
     [[nodiscard]] std::optional<reason> refused_write() const;
 
 private:
@@ -137,7 +142,7 @@
     void send(const daemon_id& to, wire::envelope envelope);
     void add_group_targets(instant now, const group_record& it, instant valid_until,
                            const failure_domain_id& home, target_table& out) const;
-    /// Requests at a target by the latest report, from all daemons.
+    /// Returns the number of requests, from all daemons, at a target by its latest report.
     [[nodiscard]] int reported_in_flight(const target& it) const;
     void add_service_targets(instant own_until, target_table& out) const;
     void set_service_grant(instant own_until, target& place) const;
@@ -152,7 +157,7 @@
     remote_domains others_;
     group_controller controller_;
     runner_watch watch_;
-    std::map<runner_id, runner_report> own_reports_; ///< not shared yet
+    std::map<runner_id, runner_report> own_reports_; ///< not yet sent to the domain's other daemons
     std::map<daemon_id, instant> heard_;
     std::set<group_id> proposed_;
     bool proposing_copy_ = false;
--- a/include/cedarpoint/control/log_client.h
+++ b/include/cedarpoint/control/log_client.h
@@ -13,40 +13,43 @@
 
 namespace cedarpoint {
 
-/// Submits commands to a replicated log whose leader may be on another daemon, or not elected.
-/// Retries until an answer comes or the command's limit has passed, so each command must be
+/// Submits commands to a replicated log whose leader may be on another daemon or not elected yet.
+/// Retries until an answer arrives or the command's time limit has passed, so each command must be
 /// idempotent.
-/// Owns: the calls under way. Relies on: `tick` for retries and limits, `on_answer` for each
-/// answer, and its hooks for proposing and sending.
+/// Owns: the pending calls. Relies on: its owner, which calls `tick` for retries and time limits
+/// and `on_answer` for each answer; its hooks for proposing and sending.
 class log_client {
 public:
-    /// An empty answer: none came within the limit; the command may still be applied.
+    /// Receives the answer; an empty one if none arrived within the time limit, in which case the
+    /// command may still be applied.
     using answer_handler = std::function<void(std::optional<wire::command_answer>)>;
 
     struct hooks {
-        /// Proposes here; false if this daemon does not lead the log. An empty answer in `done`
-        /// means that the outcome is unknown.
+        /// Proposes the command on this daemon's replica. Returns false if it does not lead the
+        /// log. An empty answer in `done` means that the outcome is unknown.
         std::function<bool(instant, const std::string& log, const std::string& command,
                            std::function<void(std::optional<std::string>)> done)>
             propose_here;
-        /// Daemons to ask, the last known leader first.
+        /// Returns the daemons to send the command to, the last known leader first.
         std::function<std::vector<daemon_id>(const std::string& log)> daemons_of;
         std::function<void(const daemon_id&, wire::envelope)> send;
     };
 
-    /// Between two sendings of the same command.
+    /// The interval at which a command without an answer is sent again.
     static constexpr duration ask_again = milliseconds{400};
-    /// Redirects to a leader that are followed without a pause of `ask_again`; members may point at
-    /// each other.
+    /// The maximum number of redirects to a leader that are followed between two timed resends. The
+    /// limit is needed because members may redirect to each other.
     static constexpr int max_redirects = 3;
 
-    /// `first_call` differs at each start, so that answers to an earlier process match no call.
+    /// `first_call` must differ at each start, so that answers meant for an earlier process match
+    /// no call.
     log_client(hooks hooks, std::uint64_t first_call)
         : hooks_{std::move(hooks)}, last_call_{first_call}
     {
     }
 
-    /// `done` is called once, with an empty answer after `limit`.
+    /// Submits a command. `done` is called once: with the answer, or with an empty one after
+    /// `limit`.
     void submit(instant now, const std::string& log, const wire::command& command, duration limit,
                 answer_handler done);
     void on_answer(instant now, const wire::submit_answer& in);
@@ -62,7 +65,7 @@
         instant next;
         std::size_t turn = 0;
         daemon_id hint;
-        int redirects = 0; ///< since the last pause
+        int redirects = 0; ///< since the last timed resend
     };
 
     void ask(instant now, std::uint64_t id);
--- a/include/cedarpoint/state/domain_state.h
+++ b/include/cedarpoint/state/domain_state.h
@@ -14,28 +14,28 @@
 
 /// The result of applying one command.
 struct domain_answer {
-    std::string refused;                                ///< empty: applied
-    claim_verdict verdict = claim_verdict::unavailable; ///< of a claim
+    std::string refused; ///< why the command was refused; empty if applied
+    claim_verdict verdict = claim_verdict::unavailable; ///< the result of claim_begin
 };
 
 /// The replicated state machine of one failure domain.
 /// Owns: the configuration in force, the group table, the claims and the operators' drain marks.
-/// Relies on: its log, which gives every replica the same commands in the same order.
+/// Relies on: its log, which delivers the same commands in the same order to every replica.
 class domain_state {
 public:
     domain_answer apply(const wire::command& command);
 
-    /// Never null; an empty configuration before the first one.
+    /// Returns the configuration in force; an empty configuration, never null, before the first.
     [[nodiscard]] const std::shared_ptr<const configuration>& config() const { return config_; }
     [[nodiscard]] const wire::accepted_configuration& accepted() const { return accepted_; }
-    /// 0 before the first configuration.
+    /// Returns the revision in force; 0 before the first configuration.
     [[nodiscard]] revision in_force() const { return {accepted_.revision()}; }
     [[nodiscard]] const group_table& groups() const { return groups_; }
     [[nodiscard]] const claim_table& claims() const { return claims_; }
     [[nodiscard]] const drain_marks& drains() const { return drains_; }
 
     [[nodiscard]] std::string save() const;
-    /// False if `bytes` are not a saved state; nothing is changed then.
+    /// Returns false and changes nothing if `bytes` are not a saved state.
     bool restore(const std::string& bytes);
 
 private:
--- a/include/cedarpoint/storage/file_system.h
+++ b/include/cedarpoint/storage/file_system.h
@@ -8,8 +8,8 @@
 
 namespace cedarpoint {
 
-/// The file operations that durable state needs; an interface, so that tests can fail them or leave
-/// torn writes. Each operation that returns false has filled `why`.
+/// The file operations that durable state needs. It is an interface so that tests can make
+/// operations fail or leave torn writes. An operation that returns false has set `why`.
 class file_system {
 public:
     file_system() = default;
@@ -17,14 +17,15 @@
     file_system& operator=(const file_system&) = delete;
     virtual ~file_system() = default;
 
-    /// The whole file. Empty with an empty `why.step`: there is no such file; empty with a step:
-    /// it failed.
+    /// Returns the content of the file. Returns empty with an empty `why.step` if the file does not
+    /// exist, and empty with a step in `why` if the operation failed.
     virtual std::optional<std::string> read(const std::string& path, reason& why) = 0;
-    /// Appends and syncs: once this returns true, the bytes are durable.
+    /// Appends `bytes` and syncs. They are durable once this returns true.
     virtual bool append_synced(const std::string& path, const std::string& bytes, reason& why) = 0;
-    /// Replaces the file as a whole: written beside it, synced, renamed, folder synced.
+    /// Replaces the file atomically: writes and syncs a new file in the same folder, renames it and
+    /// syncs the folder.
     virtual bool replace(const std::string& path, const std::string& bytes, reason& why) = 0;
-    /// Cuts the file to `size` bytes and syncs.
+    /// Truncates the file to `size` bytes and syncs.
     virtual bool truncate(const std::string& path, std::uint64_t size, reason& why) = 0;
     virtual bool make_folder(const std::string& path, reason& why) = 0;
 };
--- a/include/cedarpoint/storage/log_store.h
+++ b/include/cedarpoint/storage/log_store.h
@@ -12,24 +12,25 @@
 namespace cedarpoint {
 
 /// The durable part of one replicated log: a folder with the files "snapshot" and "log", both
-/// versioned and checksummed. A torn last frame is truncated at opening, as it was never
-/// acknowledged; damage before the last frame is an error.
+/// versioned and checksummed. `open` truncates a torn last frame, which was never acknowledged;
+/// damage before an intact frame is an error.
 /// Owns: the two files. Relies on: a file_system that syncs before it returns.
 class log_store {
 public:
-    /// Opens or makes the folder and reads its content into `state`. Null with `why` on damage or a
-    /// failed operation.
+    /// Opens or creates the folder and reads its content into `state`. Returns null and sets `why`
+    /// if a file is damaged or an operation fails.
     static std::unique_ptr<log_store> open(file_system& files, const std::string& folder,
                                            raft_state& state, reason& why);
 
-    /// Appends one batch and syncs it. After a failure it may be called again: the file then holds
-    /// what it held before, and perhaps a torn tail.
+    /// Appends one batch and syncs it. It may be called again after a failure, which leaves the
+    /// earlier content of the file, possibly followed by a torn frame.
     bool append(const wire::storage_batch& batch, reason& why);
     /// Replaces the snapshot, then the log by `rest`: the hard state and the entries after the
-    /// snapshot. A failure loses nothing: the earlier files stand for the same or more.
+    /// snapshot. A failure loses no data, because the log is replaced only after the new snapshot
+    /// is durable.
     bool save_snapshot(const wire::log_snapshot& snapshot, const wire::storage_batch& rest,
                        reason& why);
-    /// Size of the log file in bytes; the owner takes a snapshot when it is large.
+    /// Returns the size of the log file in bytes; the owner takes a snapshot when it is large.
     [[nodiscard]] std::uint64_t log_bytes() const { return log_bytes_; }
 
 private:
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -1,4 +1,4 @@
-// A daemon's replicas of the logs, and its work while it leads its domain.
+// The daemon's replicas of the logs and its work while it leads its domain.
 
 #include "control/control_plane_priv.h"
 
@@ -9,13 +9,13 @@
 namespace cedarpoint {
 namespace {
 
-/// Between two steps of the group controller.
+/// The interval between steps of the group controller.
 constexpr duration look_interval = milliseconds{100};
-/// Between two pulls of the root's configuration and of the other domains' views.
+/// The interval between pulls of the root's configuration and of the other domains' views.
 constexpr duration pull_interval = milliseconds{500};
-/// A runner is absent after this many watch intervals without a report.
+/// A runner counts as absent after this many watch intervals without a report.
 constexpr int absent_after_looks = 3;
-/// Reports go to the domain's other daemons this many times in a watch interval.
+/// The number of times per watch interval that reports are sent to the domain's other daemons.
 constexpr int shares_per_watch_interval = 2;
 
 std::string join_nodes(const std::vector<node_id>& nodes)
@@ -245,7 +245,7 @@
     if (root_ != nullptr) {
         take_configuration(now, root_->state.accepted());
     }
-    // Root voters pull too: this replica may be partitioned from the root's quorum.
+    // Root voters pull too, because their own replica may be partitioned from the root's quorum.
     const auto all = daemons_of(root_log_id);
     if (!all.empty()) {
         wire::envelope out;
@@ -283,7 +283,8 @@
     own_reports_.clear();
     for (const auto& it : options_.own.peers) {
         if (it.failure_domain == options_.own.failure_domain) {
-            // Also when empty: it is the heartbeat that makes this daemon a watcher.
+            // An empty message is sent too: the receivers count this daemon as a watcher only while
+            // its messages arrive.
             send(it.id, out);
         }
     }
--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -5,11 +5,11 @@
 namespace cedarpoint {
 namespace {
 
-/// An operator's call is retried for this long.
+/// How long an operator's command is retried.
 constexpr duration operator_limit = seconds{10};
-/// A claim is retried for this long; then nothing runs (docs/DESIGN.md, Claims).
+/// How long a claim is retried; after that the request is not run (docs/DESIGN.md, Claims).
 constexpr duration claim_limit = seconds{3};
-/// The end of a claim is retried for this long.
+/// How long the end of a claim is retried.
 constexpr duration finish_limit = seconds{60};
 
 } // namespace
@@ -24,8 +24,8 @@
 
 void control_plane::submit_drain(instant now, wire::drain_change change, answer_handler done)
 {
-    // The mark goes to the log of the domain that holds the node, group or runner; an unknown id is
-    // marked in this daemon's domain.
+    // The drain mark is written to the log of the domain that contains the node, group or runner;
+    // that of an unknown id to the log of this daemon's domain.
     const auto& config = *domain_->state.config();
     failure_domain_id owner = options_.own.failure_domain;
     const auto* node = config.find_node(node_id{change.id()});
--- a/src/control/control_plane_priv.h
+++ b/src/control/control_plane_priv.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Shared by the parts of control_plane; not for others.
+// Private declarations shared by the source files of control_plane.
 
 #include "cedarpoint/control/control_plane.h"
 
 namespace cedarpoint {
 
 inline constexpr const char* root_log_id = "root";
-/// Of wire::envelope; messages of any other version are dropped.
+/// The version of wire::envelope. Messages of any other version are dropped.
 inline constexpr std::uint32_t protocol_version = 1;
 
 inline wire::command_answer to_wire(const domain_answer& it)
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -1,4 +1,4 @@
-// Read-only views of the state: targets, watched runners, figures.
+// Read-only views of the state: targets, runners to poll, counts.
 
 #include "control/control_plane_priv.h"
 
@@ -9,9 +9,9 @@
 namespace cedarpoint {
 namespace {
 
-/// A daemon from which no message came for this long counts as no watcher.
+/// A daemon that has sent no message for this long does not count as a watcher.
 constexpr duration peer_silence = seconds{4};
-/// Daemons of the domain that look at each runner.
+/// The number of the domain's daemons that poll each runner.
 constexpr std::size_t watchers_per_runner = 2;
 
 } // namespace
--- a/src/storage/log_store.cpp
+++ b/src/storage/log_store.cpp
@@ -8,12 +8,13 @@
 namespace cedarpoint {
 namespace {
 
-// The stored form, fixed by files that exist: `file_mark`, then frames. A frame: mark (4 bytes),
-// length of the payload (4), checksum of the payload (8), payload. Little-endian.
+// The file format, which must stay compatible with existing files: `file_mark`, then frames. A
+// frame consists of `frame_mark` (4 bytes), the payload's length (4), the payload's checksum (8)
+// and the payload. Numbers are little-endian.
 constexpr std::string_view file_mark = "cedarpoint log 1\n";
 constexpr std::string_view frame_mark = "CPf1";
-constexpr std::size_t length_at = 4;   // bytes from the frame's beginning
-constexpr std::size_t checksum_at = 8; // the same
+constexpr std::size_t length_at = 4;   // byte offset in the frame
+constexpr std::size_t checksum_at = 8; // byte offset in the frame
 constexpr std::size_t frame_head = 16; // bytes before the payload
 
 template <class T>
@@ -42,7 +43,7 @@
     return out + payload;
 }
 
-/// The payload of the frame that `in` begins with, if it is whole.
+/// Returns the payload of the frame at the start of `in`; empty if the frame is torn or damaged.
 std::optional<std::string_view> read_frame(std::string_view in)
 {
     if (in.size() < frame_head || !in.starts_with(frame_mark)) {
@@ -162,7 +163,7 @@
 
 bool log_store::append(const wire::storage_batch& batch, reason& why)
 {
-    // A part of a batch that was refused may be in the file: it goes before the next one comes.
+    // A failed append may have left part of a batch in the file, which must not precede the next.
     if (has_torn_tail_ && !files_.truncate(log_path_, log_bytes_, why)) {
         return false;
     }
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr mode_t file_mode = 0600; // the daemon's own user only
-/// Bytes for each read(2).
+/// The number of bytes requested by each read(2).
 constexpr std::size_t read_block = 65536;
 
 /// A file descriptor, closed by its destructor.
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -4,7 +4,7 @@
 
 namespace cedarpoint {
 
-/// Files of the operating system, synced before an operation returns.
+/// The files of the operating system. Each change is synced before the operation returns.
 class posix_file_system final : public file_system {
 public:
     std::optional<std::string> read(const std::string& path, reason& why) override;
