--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -43,8 +43,8 @@
     std::function<std::uint64_t()> wall_ms;
 };
 
-/// The control plane of one daemon. It provides the targets for all requests and takes no part in
-/// the routing of a single request.
+/// The control plane of one daemon whose settings list `peers`. It provides the targets for all
+/// requests and takes no part in the routing of a single request.
 /// Owns: its replica of the domain's log and, on a root voter, of the root's log, with their
 /// states; the group controller, which works only while this daemon holds the domain's lease; the
 /// last views of the other domains.
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -1,4 +1,4 @@
-// Single promises of one member, message by message. Whole groups are in tests/control.
+// Tests the guarantees of a single member, message by message. tests/control tests whole logs.
 
 #include "cedarpoint/consensus/membership_policy.h"
 #include "cedarpoint/consensus/raft_node.h"
@@ -35,7 +35,7 @@
     return out;
 }
 
-/// What a voter's folder holds after it took part up to `term` with one entry.
+/// Returns the stored state of a voter that reached `term` and has one entry.
 raft_state memory(std::uint64_t term)
 {
     raft_state out;
@@ -71,7 +71,7 @@
     return out;
 }
 
-/// True if the latest output grants a vote.
+/// Returns true if the latest output grants a vote.
 bool grants(raft_node& it)
 {
     const auto out = it.take_output();
@@ -181,7 +181,7 @@
     EXPECT_TRUE(it.is_leader());
 }
 
-/// A leader of term 4 whose log ends with an entry of term 2 that nobody has committed.
+/// A leader of term 4 with an entry of term 2 in its log that is not committed.
 class leader_with_an_old_entry {
 public:
     leader_with_an_old_entry()
@@ -231,7 +231,7 @@
     EXPECT_TRUE(at.it->holds_lease(at.now));
 }
 
-// Guards against elections that begin anew while a vote waits for a slow disk.
+// Guards against an election that restarts while a vote still waits for a write to a slow disk.
 TEST(a_slow_disk, lengthens_elections_and_the_office_of_a_leader_but_no_lease)
 {
     leader_with_an_old_entry at;
@@ -243,7 +243,7 @@
     at.it->tick(at.now + milliseconds{2200});
     EXPECT_FALSE(at.it->is_leader());
 
-    // It asks for votes, and waits for them.
+    // As a candidate it waits longer for votes too.
     at.now += milliseconds{2200};
     while (at.it->at() != raft_node::role::pre_candidate) {
         at.step();
@@ -283,12 +283,12 @@
     const auto asked = start + seconds{2};
     auto late = append(4, 1, 1, 1);
     late.set_follower_stamp(asked.time_since_epoch().count());
-    const auto arrived = start + seconds{60}; // the process stood still in between
+    const auto arrived = start + seconds{60}; // the process was paused in between
     it.receive(arrived, b, late);
     ASSERT_TRUE(it.granted_at(arrived));
     EXPECT_EQ(*it.granted_at(arrived), asked);
 
-    // A stamp of an earlier process, whose clock may have been another, is no grant.
+    // A stamp from an earlier process, whose clock may have differed, is not accepted as a grant.
     auto foreign = append(4, 1, 1, 1);
     foreign.set_follower_stamp((arrived + seconds{5}).time_since_epoch().count());
     it.receive(arrived, b, foreign);
@@ -309,21 +309,21 @@
     leader_with_an_old_entry at;
     const member_id d{"d"};
     EXPECT_FALSE(
-        at.it->change_membership(at.now, d, true, false)); // nothing of its term is committed
+        at.it->change_membership(at.now, d, true, false)); // no entry of its term is committed
     at.reply(b, msg::append_reply, 4, true, 3);
     EXPECT_TRUE(at.it->change_membership(at.now, d, true, false));
     EXPECT_FALSE(at.it->change_membership(at.now, d, true, true));
     at.reply(b, msg::append_reply, 4, true, 4);
     EXPECT_TRUE(at.it->change_membership(at.now, d, true, true));
     EXPECT_TRUE(at.it->is_voter(d));
-    // Three of four are needed now.
+    // The quorum is now three of four.
     at.reply(b, msg::append_reply, 4, true, 5);
     EXPECT_EQ(at.it->commit(), 4U);
     at.reply(d, msg::append_reply, 4, true, 5);
     EXPECT_EQ(at.it->commit(), 5U);
 }
 
-/// Makes `node` the leader with the vote of b.
+/// Makes `node` the leader with b's vote.
 void elect(raft_node& node, instant now)
 {
     node.tick(now);
@@ -408,7 +408,7 @@
         answer(b);
         answer(c);
     }
-    /// Time passes in which only `present` answer.
+    /// Advances the time while only the members in `present` answer.
     void pass(duration time, const std::vector<member_id>& present)
     {
         constexpr duration step = milliseconds{500};
--- a/tests/consensus/replicated_log_disk_test.cpp
+++ b/tests/consensus/replicated_log_disk_test.cpp
@@ -1,4 +1,4 @@
-// Disks that refuse writes for a while, under three replicas of one log.
+// Tests three replicas of one log while writes to their disks fail.
 
 #include "cedarpoint/consensus/replicated_log.h"
 #include "support/memory_files.h"
@@ -14,7 +14,7 @@
 
 constexpr duration tick = milliseconds{20};
 
-/// Remembers the commands in their order.
+/// A state machine that records the commands in the order in which they are applied.
 class command_list final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
@@ -112,7 +112,7 @@
         }
         return nullptr;
     }
-    /// Proposes at the present leader; the answer comes into `answered`.
+    /// Proposes to the current leader; the answer is appended to `answered`.
     void propose(const std::string& command)
     {
         ASSERT_NE(leader(), nullptr);
@@ -238,7 +238,7 @@
     void propose_many(int count)
     {
         for (int n = 0; n < count; ++n) {
-            // Nobody takes it while the leader's disk refuses writes.
+            // There is no leader to propose to while the last leader's disk refuses writes.
             if (auto* first = leader(); first != nullptr) {
                 first->log->propose(now, std::string(40, static_cast<char>('a' + n % 26)), {});
             }
@@ -251,7 +251,7 @@
 {
     ASSERT_NE(leader(), nullptr);
     propose_many(15);
-    // The next write is a batch; the one after it may be a snapshot. Each is refused once.
+    // The next write is a batch; the one after it may be a snapshot. Each of them fails once.
     for (int write = 0; write < 4; ++write) {
         leader()->files.fail_write(write, 4);
         propose_many(8);
--- a/tests/control/control_scenario_test.cpp
+++ b/tests/control/control_scenario_test.cpp
@@ -1,4 +1,5 @@
-// Plays tests/control/scenarios/*.scenario: a few control planes under failures, in faked time.
+// Runs tests/control/scenarios/*.scenario: several control planes under failures, in simulated
+// time.
 
 #include "control/world.h"
 #include "support/scenario_file.h"
@@ -101,7 +102,7 @@
         return take_answers();
     }
 
-    /// await LIMIT WHAT ...
+    /// Syntax: await LIMIT WHAT ...
     lines await(const scenario_step& in)
     {
         const auto what = in.word(1);
@@ -219,7 +220,8 @@
         return {};
     }
 
-    /// apply-many DAEMON COUNT FIRST: changes c<FIRST>.. one after the other
+    /// Syntax: apply-many DAEMON COUNT FIRST. Submits COUNT changes, c<FIRST + 1> and on, one after
+    /// the other.
     lines apply_many(const scenario_step& in)
     {
         const auto count = std::stoull(in.word(1));
@@ -227,7 +229,7 @@
         int accepted = 0;
         for (std::uint64_t n = 0; n < count; ++n) {
             world_->apply(in.word(0), first + n, fmt::format("c{}", first + n + 1), 0);
-            // Longer than the 10 s for which a daemon retries an operator's call.
+            // The limit exceeds the 10 s for which a daemon retries an operator's command.
             world_->run_until([&] { return !world_->answers.empty(); }, seconds{20});
             const auto got = take_answers();
             accepted += !got.empty() && got.front().find(" accepted ") != std::string::npos ? 1 : 0;
@@ -275,7 +277,8 @@
 
     lines take_answers() { return std::exchange(world_->answers, {}); }
 
-    /// "leader-a" is zone a's leader, "root" the root's, "follower-a" a voter that follows in a.
+    /// Returns the daemon that a name stands for: "leader-a" is zone a's leader, "root" the root's
+    /// leader, "follower-a" the first running daemon of zone a that does not lead.
     std::string resolve(const std::string& name)
     {
         if (name == "root") {
--- a/tests/control/random_run_test.cpp
+++ b/tests/control/random_run_test.cpp
@@ -1,6 +1,6 @@
-// Random failures from a seed; the invariants are checked after each step, liveness at the end.
-// CEDARPOINT_SEEDS=n runs n seeds, CEDARPOINT_SEED=n only that one. A failing run's operations are
-// printed; with CEDARPOINT_SHRINK set, only those that it needs.
+// Injects random failures derived from a seed. The invariants are checked after each step, liveness
+// at the end. CEDARPOINT_SEEDS=n runs the first n seeds, CEDARPOINT_SEED=n only that one. The
+// operations of a failing run are printed; with CEDARPOINT_SHRINK set, only those that it needs.
 
 #include "control/world.h"
 
@@ -14,13 +14,13 @@
 using testing_support::world;
 using testing_support::world_options;
 
-constexpr int default_seeds = 40; ///< as in CI; docs/MEASUREMENTS.md has a run of 800
+constexpr int default_seeds = 40; ///< as in CI; docs/MEASUREMENTS.md reports a run of 800
 constexpr int operations_per_run = 60;
-constexpr int longest_pause_ms = 1500; ///< between two operations
-/// Of the world's time, for all to come to rest after everything was mended. Not measured.
+constexpr int longest_pause_ms = 1500; ///< the time between two operations is below this
+/// The simulated time within which the system must become stable after all faults have ended.
 constexpr seconds rest_limit{200};
 
-/// One thing that happens, and how long the world runs after it.
+/// One operation, and how long the simulation runs after it.
 struct operation {
     int kind = 0;
     int a = 0;
@@ -62,7 +62,7 @@
     return out;
 }
 
-/// Plays operations against a world. Remembers what was answered, to check that it stays so.
+/// Performs operations on a simulated world, then checks that it becomes stable.
 class random_run {
 public:
     explicit random_run(const world_options& options)
@@ -70,7 +70,7 @@
     {
     }
 
-    /// The first thing that went wrong, or empty.
+    /// Returns the first violation; empty if there is none.
     std::string play(const std::vector<operation>& all)
     {
         world_.run(seconds{4});
@@ -122,7 +122,7 @@
             world_.disk(name).work_again();
         }
         else if (what == "wipe") {
-            // One lost disk at a time, and only while the others hold everything.
+            // Only one disk is lost at a time, and only while the others hold all data.
             if (options_.zones == 3 && options_.disks == 3 && is_calm()) {
                 world_.kill(name);
                 world_.wipe(name);
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Everything mended, the system must come to rest: leaders, one configuration, groups in use.
+    /// Ends all faults. The system must then become stable: leaders elected, one configuration in
+    /// force, groups usable.
     std::string end_well()
     {
         world_.heal();
@@ -210,7 +211,7 @@
     int holders_ = 0;
 };
 
-/// Leaves out operations as long as the run still fails.
+/// Removes each operation without which the run still fails.
 std::vector<operation> shrink(const world_options& options, std::vector<operation> all)
 {
     for (std::size_t n = all.size(); n-- > 0;) {
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -9,14 +9,14 @@
 
 using json = nlohmann::json;
 
-// The scenarios' golden files hold the times that follow from these; none was measured.
+// The times in the scenarios' golden files depend on these constants.
 constexpr duration step_time = milliseconds{10};
-constexpr duration load_time = milliseconds{500}; ///< from the order to load to ready
-constexpr milliseconds watch_interval{200};       ///< the product's default is 1000 ms
+constexpr duration load_time = milliseconds{500}; ///< from the load order until the engine is ready
+constexpr milliseconds watch_interval{200};       ///< shorter than the product's default of 1000 ms
 constexpr int group_size = 4;                     ///< nodes
 constexpr int ports_per_zone = 100;
-constexpr std::uint16_t first_daemon_port = 10'000; ///< in addresses only: nothing listens
-constexpr int first_runner_port = 20'000;           ///< the same
+constexpr std::uint16_t first_daemon_port = 10'000; ///< in addresses only; no port is opened
+constexpr int first_runner_port = 20'000;           ///< in addresses only; no port is opened
 
 std::string zone_name(int n)
 {
@@ -87,7 +87,7 @@
     };
     control_plane::options options;
     options.own = it.own;
-    // Distinct for each world, daemon and start; the golden files hold what follows from it.
+    // Distinct for each world, daemon and start. The golden files depend on this value.
     options.seed =
         options_.seed * 1000 + std::hash<std::string>{}(daemon) % 997 + (++it.starts) * 1'000'003;
     reason why;
@@ -192,7 +192,7 @@
 
 void world::take_order(const runner_order& order)
 {
-    auto& it = engines_.at(order.runner.str().substr(2)); // runners are called r-<node>
+    auto& it = engines_.at(order.runner.str().substr(2)); // a runner's id is r-<node>
     if (!it.alive || (it.checks_epoch && order.assignment < it.state.assignment)) {
         return;
     }
@@ -223,7 +223,7 @@
         look(*it);
         it->plane->tick(now_);
         if (it->plane->failure()) {
-            kill(name); // as the process ends itself
+            kill(name); // the real process would exit
         }
     }
     check();
@@ -326,7 +326,7 @@
                    claim_outcome outcome)
 {
     if (outcome == claim_outcome::not_run) {
-        granted[key].erase(holder); // it did not run and never will
+        granted[key].erase(holder); // it has not run and will not run
     }
     plane(daemon).finish_claim(
         now_,
@@ -407,7 +407,7 @@
 
 void world::check()
 {
-    // Messages under way; calm worlds of nine daemons have some dozens.
+    // The maximum number of messages in flight. Nine daemons without faults have a few dozen.
     constexpr std::size_t storm = 2000;
     if (flying_.size() > storm) {
         note("a storm of messages");
@@ -427,9 +427,10 @@
 {
     std::map<std::string, std::string> holder;
     for (const auto& [host_name, it] : hosts_) {
-        const auto& name = host_name; // a binding can't be captured
+        const auto& name =
+            host_name; // not every compiler lets a lambda capture a structured binding
         if (it->plane == nullptr) {
-            continue; // a paused one counts: its lease has to expire by its clock
+            continue; // paused daemons are checked: their leases must expire by the clock
         }
         const auto check_one = [&](const std::string& log, const replicated_log& replica) {
             if (!replica.raft().holds_lease(now_)) {
@@ -460,7 +461,7 @@
             if (!place.group || place.draining || now_ >= place.valid_until) {
                 continue;
             }
-            // A runner that checks no epoch would take this request as its new group's.
+            // A runner that does not check epochs would accept this request for its new group.
             const auto& engine = engines_.at(place.upstream.str().substr(2));
             if (!engine.checks_epoch && engine.state.assignment != place.assignment) {
                 note(name + " may send to " + place.group->str() + " what runner " +
@@ -477,7 +478,7 @@
             continue;
         }
         const auto& accepted = it->plane->domain().accepted();
-        // At revision 0 a daemon takes no calls: a zone that lost its only disk begins there.
+        // A daemon at revision 0 takes no calls. A zone that lost its only disk restarts there.
         const bool takes_calls = it->plane->granted_at(now_) && accepted.revision() > 0;
         if (takes_calls) {
             if (accepted.revision() < it->newest_revision) {
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -14,23 +14,25 @@
 
 namespace cedarpoint::testing_support {
 
-/// The size and faults of a world. Zones are a, b, c...; daemons a1, a2...; nodes an0, an1...
+/// The size and faults of a simulated world. Zones are named a, b, c...; daemons a1, a2...; nodes
+/// an0, an1...
 struct world_options {
     int zones = 3;
     int daemons = 3;       ///< in each zone
-    int disks = 3;         ///< of the daemons in each zone; these are the voters
+    int disks = 3;         ///< daemons with a disk in each zone; they are the voters
     bool diskless = false; ///< the voters store nothing
     int nodes = 9;         ///< in each zone
-    int groups = 2;        ///< of four nodes, in each zone
+    int groups = 2;        ///< groups of four nodes in each zone
     bool checks_epoch = true;
     std::uint64_t seed = 1;
     int loss_percent = 0;     ///< of messages
     int double_percent = 0;   ///< of messages
-    int longest_delay_ms = 5; ///< of a message; each takes 1 ms up to this
+    int longest_delay_ms = 5; ///< each message takes from 1 ms to this
 };
 
-/// A simulation of a few control planes with faked time, messages, disks and engines; deterministic
-/// by its seed. After each step the invariants are checked; `broken` keeps the first violation.
+/// Simulates several control planes with their time, messages, disks and engines. A run is
+/// determined by its seed. After each step the invariants are checked; `broken` returns the first
+/// violation.
 /// Owns: the planes, their disks, the engines and the messages in flight.
 class world {
 public:
@@ -40,23 +42,24 @@
     world& operator=(const world&) = delete;
 
     void run(milliseconds time);
-    /// Runs until `done` or for `limit`. The time that it took; empty if `limit` passed first.
+    /// Runs until `done` returns true, for at most `limit`. Returns the simulated time that passed;
+    /// empty if `limit` passed first.
     std::optional<milliseconds> run_until(const std::function<bool()>& done, milliseconds limit);
 
     void kill(const std::string& daemon);
     void start(const std::string& daemon);
     void wipe(const std::string& daemon) { at(daemon).files.wipe(); }
     void pause(const std::string& daemon, bool it) { at(daemon).paused = it; }
-    /// Names are daemons or zones.
+    /// Drops messages from one daemon or zone to another; "*" stands for all.
     void cut(const std::string& from, const std::string& to, bool both_ways);
     void heal() { cuts_.clear(); }
     void mend(const std::string& one, const std::string& other);
     void lose_node(const std::string& node, bool lost) { engines_.at(node).alive = !lost; }
 
-    /// A file of this world, with `extra` groups more in each zone.
+    /// Returns a configuration file for this world, with `extra` additional groups in each zone.
     [[nodiscard]] std::string file(std::uint64_t based_on, const std::string& change,
                                    int extra) const;
-    /// Hands a file to a daemon; the answer comes to `answers`.
+    /// Submits a configuration file to a daemon; the answer is added to `answers`.
     void apply(const std::string& daemon, std::uint64_t based_on, const std::string& change,
                int extra);
     void claim(const std::string& daemon, const std::string& key, const std::string& holder);
@@ -71,16 +74,17 @@
     [[nodiscard]] std::vector<std::string> names() const;
     [[nodiscard]] std::string leader_of(const std::string& zone) const;
     [[nodiscard]] std::string root_leader() const;
-    /// The groups that at least one daemon of the zone may send requests to now.
+    /// Returns the number of the zone's groups to which at least one of its daemons may send
+    /// requests now.
     [[nodiscard]] int usable_groups(const std::string& zone) const;
     [[nodiscard]] bool in_force_everywhere(std::uint64_t revision) const;
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::uint64_t steps() const { return steps_; }
     [[nodiscard]] const std::string& broken() const { return broken_; }
 
-    std::vector<std::string> answers; ///< of operators and claims, in the order they came
-    std::vector<std::string> events;  ///< of groups
-    std::map<std::string, std::set<std::string>> granted; ///< holders by key
+    std::vector<std::string> answers; ///< to operators and claims, in order of arrival
+    std::vector<std::string> events;  ///< state changes of groups
+    std::map<std::string, std::set<std::string>> granted; ///< holders of granted claims by key
 
 private:
     struct host {
@@ -92,7 +96,7 @@
         instant next_look;
         std::uint64_t starts = 0;
         std::uint64_t newest_revision = 0;
-        std::vector<wire::envelope> held; ///< came while it was paused
+        std::vector<wire::envelope> held; ///< messages that arrived while it was paused
     };
     struct engine {
         std::string node;
@@ -129,7 +133,7 @@
     std::map<std::string, engine> engines_;
     std::vector<flying> flying_;
     std::set<std::pair<std::string, std::string>> cuts_;
-    std::map<std::uint64_t, std::string> texts_; ///< by revision, as first seen
+    std::map<std::uint64_t, std::string> texts_; ///< configuration texts by revision, as first seen
     std::uint64_t steps_ = 0;
     group_invariants invariants_;
     std::string broken_;
--- a/tests/state/domain_state_test.cpp
+++ b/tests/state/domain_state_test.cpp
@@ -68,7 +68,7 @@
     EXPECT_EQ(it.groups().records().size(), 1U);
     EXPECT_EQ(invariants.check(it.groups()), "");
 
-    // A late step of an older assignment changes nothing.
+    // A delayed step of an earlier assignment is refused.
     EXPECT_EQ(it.apply(step("g/0", 1, group_state::lost)).refused, "");
     EXPECT_EQ(it.apply(step("g/0", 1, group_state::released)).refused, "");
     EXPECT_EQ(it.apply(assign("g/0", {"n2", "n3"})).refused, "");
@@ -126,7 +126,7 @@
     it.finish(key, request_id{"r1"}, claim_outcome::ran);
     EXPECT_EQ(it.begin(key, request_id{"r2"}, 1000 + claim_table::window_ms),
               claim_verdict::already_ran);
-    // A proposer whose clock is behind does not bring a key back to life.
+    // A command from a proposer whose clock is behind does not make the key free again.
     EXPECT_EQ(it.begin(key, request_id{"r3"}, 0), claim_verdict::already_ran);
     EXPECT_EQ(it.begin(key, request_id{"r4"}, 1001 + claim_table::window_ms),
               claim_verdict::granted);
@@ -137,7 +137,7 @@
     claim_table it;
     const claim_key key{client_account_id{"acme"}, "k"};
     it.begin(key, request_id{"r1"}, 0);
-    it.finish(key, request_id{"r2"}, claim_outcome::not_run); // not the holder
+    it.finish(key, request_id{"r2"}, claim_outcome::not_run); // not the holder: ignored
     EXPECT_EQ(it.begin(key, request_id{"r2"}, 0), claim_verdict::running);
     it.finish(key, request_id{"r1"}, claim_outcome::not_run);
     EXPECT_EQ(it.begin(key, request_id{"r1"}, 0), claim_verdict::unavailable);
--- a/tests/storage/log_store_test.cpp
+++ b/tests/storage/log_store_test.cpp
@@ -24,7 +24,7 @@
     return out;
 }
 
-/// The number of entries found at a fresh opening, or -1 if it is refused.
+/// Opens the log anew and returns its number of entries, or -1 if the log is refused.
 int entries_at_opening(file_system& files, reason& why)
 {
     raft_state state;
