--- a/include/cedarpoint/consensus/election_status.h
+++ b/include/cedarpoint/consensus/election_status.h
@@ -18,13 +18,13 @@
 
 /// The reason why a member refuses to vote for a candidate.
 enum class vote_refusal {
-    none,             ///< the vote is granted
-    follows_leader,   ///< it leads, or received an append within an election timeout
-    lease_may_run,    ///< a lease granted before its restart may not have expired
-    candidate_behind, ///< the candidate's log is older than the member's
-    not_whole,        ///< it may have lost stored state and has not caught up
-    old_term,         ///< the candidate's term is too old
-    voted_already     ///< it voted for another candidate in this term, or is no follower
+    none,                ///< the vote is granted
+    follows_leader,      ///< it leads, or received an append within an election timeout
+    lease_may_run,       ///< a lease granted before its restart may not have expired
+    candidate_behind,    ///< the candidate's log is older than the member's
+    may_have_lost_state, ///< it may have lost stored state and has not caught up
+    old_term,            ///< the candidate's term is too old
+    voted_already        ///< it voted for another candidate in this term, or is no follower
 };
 
 [[nodiscard]] std::string_view name_of(vote_refusal in);
--- a/include/cedarpoint/consensus/raft_node.h
+++ b/include/cedarpoint/consensus/raft_node.h
@@ -122,10 +122,10 @@
     [[nodiscard]] std::uint64_t match_of(const member_id& it) const;
     /// Leader only: returns the time since it sent the latest append that the member answered, or
     /// since it became leader if the member answered none.
-    [[nodiscard]] duration silence_of(instant now, const member_id& it) const;
+    [[nodiscard]] duration time_since_acked_send(instant now, const member_id& it) const;
     /// Leader only: returns when it sent the latest append that the member answered; empty if the
     /// member answered none in this term.
-    [[nodiscard]] std::optional<instant> heard_from(const member_id& it) const;
+    [[nodiscard]] std::optional<instant> last_acked_send(const member_id& it) const;
     [[nodiscard]] election_status elections(instant now) const;
     [[nodiscard]] const wire::log_snapshot& snapshot() const { return snapshot_; }
     /// Returns the durable state that is not part of the snapshot: hard state and later entries.
@@ -145,11 +145,11 @@
     void start_pre_vote(instant now);
     void start_election(instant now);
     void become_leader(instant now);
-    void arm_election(instant now);
+    void reset_election_timer(instant now);
     /// Returns the election timeout, extended while the disk is slow: a vote takes two writes, and
     /// a leader sends nothing during a write. Leases use the election timeout without the
     /// extension.
-    [[nodiscard]] duration patience() const;
+    [[nodiscard]] duration extended_election_timeout() const;
     void count_vote(instant now, const member_id& from);
 
     void on_append(instant now, const member_id& from, const wire::raft_message& in);
@@ -174,14 +174,14 @@
     [[nodiscard]] election_contact& contact_of(const member_id& it);
     void refresh_members();
     /// Returns why this member refuses every candidate now; `none` if it does not.
-    [[nodiscard]] vote_refusal why_no_vote(instant now) const;
+    [[nodiscard]] vote_refusal refusal_for_all(instant now) const;
     /// Returns why this member refuses this candidate, without regard to terms; `none` if it does
     /// not.
-    [[nodiscard]] vote_refusal why_no_vote_for(instant now, const wire::raft_message& in) const;
-    [[nodiscard]] vote_refusal judge_vote(instant now, const member_id& from,
-                                          const wire::raft_message& in) const;
+    [[nodiscard]] vote_refusal refusal_for(instant now, const wire::raft_message& in) const;
+    [[nodiscard]] vote_refusal evaluate_vote_request(instant now, const member_id& from,
+                                                     const wire::raft_message& in) const;
     [[nodiscard]] std::size_t election_quorum() const;
-    void note_whole(instant now, const wire::raft_message& in);
+    void note_caught_up(instant now, const wire::raft_message& in);
     [[nodiscard]] bool is_up_to_date(const wire::raft_message& in) const;
     [[nodiscard]] std::uint64_t last_term() const;
     [[nodiscard]] std::optional<std::uint64_t> term_at(std::uint64_t index) const;
@@ -192,7 +192,7 @@
     [[nodiscard]] instant lease_basis(instant now) const;
     /// Returns true for a leader whose appends a quorum has answered within the extended election
     /// timeout.
-    [[nodiscard]] bool is_upheld(instant now) const;
+    [[nodiscard]] bool has_quorum_contact(instant now) const;
     [[nodiscard]] const wire::log_entry& entry_at(std::uint64_t index) const;
 
     member_id self_;
@@ -212,13 +212,13 @@
     std::uint64_t term_start_ = 0; ///< on a leader: the index of the first entry of its term
     std::set<member_id> votes_;
     std::map<member_id, election_contact> contacts_; ///< of members only
-    election_contact stranger_;                      ///< of all other senders together
+    election_contact non_member_contact_;            ///< of all other senders together
     std::map<member_id, progress> progress_;
     recent_maximum slowest_write_;
     instant election_at_;
     instant heartbeat_at_;
-    instant lead_since_;
-    std::optional<instant> leader_heard_;
+    instant leader_since_;
+    std::optional<instant> leader_contact_at_;
     instant started_;
     instant no_vote_until_; ///< until then a lease granted earlier may not have expired
     std::optional<instant> granted_;
--- a/include/cedarpoint/consensus/replicated_log.h
+++ b/include/cedarpoint/consensus/replicated_log.h
@@ -89,17 +89,17 @@
 
     replicated_log(instant now, options options, raft_state loaded,
                    std::unique_ptr<log_store> store, replicated_state& state, sender send);
-    void carry_out();
+    void process_output();
     /// Makes the output durable, then sends its messages and applies its entries. Returns false and
     /// keeps the output for a retry if the write failed.
-    bool carry_out(const raft_output& out);
+    bool process_output(const raft_output& out);
     /// Retries the write of the output that was kept. Returns false while some is still unwritten.
-    bool write_held_back(instant now);
+    bool retry_unwritten_output(instant now);
     bool persist(const raft_output& out);
     /// Calls `persist` and reports the duration of the write to the raft node.
     bool persist_timed(const raft_output& out);
     bool rewrite(const wire::log_snapshot& snapshot);
-    [[nodiscard]] bool is_stopped() const { return failure_ || held_back_; }
+    [[nodiscard]] bool is_stopped() const { return failure_ || unwritten_output_; }
     void apply(const wire::log_entry& entry);
     void drop_pending(std::uint64_t below_term);
     void compact_if_grown(instant now);
@@ -113,11 +113,11 @@
     std::uint64_t applied_ = 0;
     std::optional<reason> failure_;
     std::optional<reason> refused_write_;
-    std::optional<raft_output> held_back_; ///< output whose write failed
-    instant write_again_at_;
+    std::optional<raft_output> unwritten_output_; ///< output whose write failed
+    instant write_retry_at_;
     bool snapshot_unsaved_ = false; ///< the raft node's snapshot is newer than the stored one
-    instant compact_again_at_;
-    bool busy_ = false;
+    instant compaction_retry_at_;
+    bool processing_output_ = false;
 };
 
 } // namespace cedarpoint
--- a/src/consensus/membership_policy.cpp
+++ b/src/consensus/membership_policy.cpp
@@ -6,19 +6,19 @@
 namespace {
 
 /// A learner is promoted only if it answered an append sent within this time.
-constexpr duration ready_silence = seconds{1};
+constexpr duration promotion_ack_age = seconds{1};
 /// A learner is promoted only if it lacks at most this many log entries.
-constexpr std::uint64_t ready_lag = 64;
+constexpr std::uint64_t promotion_log_lag = 64;
 /// A voter that has not answered for longer than this is replaced by a learner.
-constexpr duration voter_silence = seconds{3};
+constexpr duration demotion_delay = seconds{3};
 /// A learner that has not answered for longer than this is removed.
-constexpr duration learner_silence = seconds{60};
+constexpr duration removal_delay = seconds{60};
 
 bool follows_closely(instant now, const raft_node& leader, const member_id& member)
 {
-    const auto heard = leader.heard_from(member);
-    return heard && now - *heard < ready_silence &&
-           leader.match_of(member) + ready_lag >= leader.last_index();
+    const auto heard = leader.last_acked_send(member);
+    return heard && now - *heard < promotion_ack_age &&
+           leader.match_of(member) + promotion_log_lag >= leader.last_index();
 }
 
 /// The members, grouped by the membership change that applies to them.
@@ -29,15 +29,15 @@
     std::vector<member_id> silent_learners;
 };
 
-member_overview survey(instant now, const raft_node& leader)
+member_overview classify_members(instant now, const raft_node& leader)
 {
     member_overview out;
     for (const auto& each : leader.members().members()) {
         const member_id member{each.id()};
-        const auto silence = leader.silence_of(now, member);
+        const auto silence = leader.time_since_acked_send(now, member);
         if (each.voter()) {
             ++out.voters;
-            if (silence > voter_silence) {
+            if (silence > demotion_delay) {
                 out.silent_voters.push_back(member);
             }
             continue;
@@ -45,7 +45,7 @@
         if (follows_closely(now, leader, member)) {
             out.ready_learners.push_back(member);
         }
-        if (silence > learner_silence) {
+        if (silence > removal_delay) {
             out.silent_learners.push_back(member);
         }
     }
@@ -62,7 +62,7 @@
 std::optional<member_id> next_promotion(instant now, const raft_node& leader,
                                         std::size_t wanted_voters)
 {
-    const auto members = survey(now, leader);
+    const auto members = classify_members(now, leader);
     const std::size_t needed = members.voters % 2 == 0 ? 1 : 2;
     if (members.voters >= wanted_voters || members.ready_learners.size() < needed) {
         return {};
@@ -73,7 +73,7 @@
 std::optional<member_id> next_demotion(instant now, const raft_node& leader,
                                        std::size_t wanted_voters)
 {
-    const auto members = survey(now, leader);
+    const auto members = classify_members(now, leader);
     if (members.voters < wanted_voters || members.ready_learners.empty()) {
         return {};
     }
@@ -82,7 +82,7 @@
 
 std::optional<member_id> next_removal(instant now, const raft_node& leader)
 {
-    return first_of(survey(now, leader).silent_learners);
+    return first_of(classify_members(now, leader).silent_learners);
 }
 
 std::optional<membership_change> next_membership_change(instant now, const raft_node& leader,
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -8,20 +8,20 @@
 
 /// At the first start of a system the first election begins after one heartbeat interval and a
 /// random delay of up to the election timeout divided by this.
-constexpr int first_start_parts = 2;
+constexpr int first_start_delay_divisor = 2;
 /// Daemons that restart at the same time are separated by a random delay of up to the election
 /// timeout divided by this.
-constexpr int restart_parts = 3;
+constexpr int restart_delay_divisor = 3;
 /// A follower no longer reports a leader after this many extended election timeouts without an
 /// append or snapshot from it.
 constexpr int leader_silence_timeouts = 2;
 /// A write that takes less than the election timeout divided by this does not count as slow.
-constexpr int quick_write_parts = 4;
+constexpr int quick_write_divisor = 4;
 /// The writes between the request for a vote and its arrival: the candidate's and the voter's.
-constexpr int writes_of_a_vote = 2;
+constexpr int writes_per_vote = 2;
 /// The upper limit of the extended election timeout, in election timeouts. It limits how long a log
 /// with slow disks stays without a leader.
-constexpr int longest_patience_timeouts = 8;
+constexpr int max_extended_timeouts = 8;
 
 } // namespace
 
@@ -34,7 +34,7 @@
 {
     advance_commit(hard_.commit());
     refresh_members();
-    arm_election(now);
+    reset_election_timer(now);
     if (hard_.term() > 0) {
         // Before its restart this voter may have answered a leader whose lease has not expired yet.
         // After an election timeout that lease has expired unless a heartbeat arrived, so an
@@ -47,7 +47,8 @@
         save_hard_state();
         // No leader can exist yet; only the start of the other voters has to be awaited.
         std::uniform_int_distribution<std::int64_t> spread(0, options_.election_timeout.count());
-        election_at_ = now + options_.heartbeat + duration{spread(random_) / first_start_parts};
+        election_at_ =
+            now + options_.heartbeat + duration{spread(random_) / first_start_delay_divisor};
     }
     const bool alone = members_.members_size() == 1 && is_voter(self_);
     if (alone) {
@@ -182,18 +183,18 @@
     return found == progress_.end() ? 0 : found->second.match;
 }
 
-std::optional<instant> raft_node::heard_from(const member_id& it) const
+std::optional<instant> raft_node::last_acked_send(const member_id& it) const
 {
     const auto found = progress_.find(it);
     return found == progress_.end() ? std::nullopt : found->second.acked;
 }
 
-duration raft_node::silence_of(instant now, const member_id& it) const
+duration raft_node::time_since_acked_send(instant now, const member_id& it) const
 {
     if (it == self_) {
         return {};
     }
-    return now - heard_from(it).value_or(lead_since_);
+    return now - last_acked_send(it).value_or(leader_since_);
 }
 
 bool raft_node::change_membership(instant now, const member_id& member, bool present, bool voter)
@@ -223,36 +224,36 @@
 
 // --- time ---------------------------------------------------------------------------------------
 
-void raft_node::arm_election(instant now)
+void raft_node::reset_election_timer(instant now)
 {
-    std::uniform_int_distribution<std::int64_t> spread(0, patience().count());
-    election_at_ = now + patience() + duration{spread(random_)};
+    std::uniform_int_distribution<std::int64_t> spread(0, extended_election_timeout().count());
+    election_at_ = now + extended_election_timeout() + duration{spread(random_)};
 }
 
 void raft_node::note_write(instant now, duration took)
 {
     slowest_write_.add(now,
-                       took < options_.election_timeout / quick_write_parts ? duration{} : took);
+                       took < options_.election_timeout / quick_write_divisor ? duration{} : took);
 }
 
-duration raft_node::patience() const
+duration raft_node::extended_election_timeout() const
 {
     return std::min(options_.election_timeout +
-                        writes_of_a_vote * slowest_write_.value().value_or(duration{}),
-                    longest_patience_timeouts * options_.election_timeout);
+                        writes_per_vote * slowest_write_.value().value_or(duration{}),
+                    max_extended_timeouts * options_.election_timeout);
 }
 
 duration raft_node::short_delay()
 {
     std::uniform_int_distribution<std::int64_t> spread(0, options_.election_timeout.count() /
-                                                              restart_parts);
+                                                              restart_delay_divisor);
     return duration{spread(random_)};
 }
 
 void raft_node::tick(instant now)
 {
     if (role_ == role::leader) {
-        if (!is_upheld(now)) {
+        if (!has_quorum_contact(now)) {
             become_follower(now, hard_.term(), {}); // no quorum answers
             return;
         }
@@ -261,11 +262,12 @@
         }
         return;
     }
-    if (leader_heard_ && now - *leader_heard_ >= leader_silence_timeouts * patience()) {
+    if (leader_contact_at_ &&
+        now - *leader_contact_at_ >= leader_silence_timeouts * extended_election_timeout()) {
         leader_ = {};
     }
     if (now >= election_at_) {
-        arm_election(now);
+        reset_election_timer(now);
         const bool may_begin = last_index() == 0 && options_.start != start_mode::later;
         if (is_voter(self_) && (hard_.whole() || may_begin)) {
             start_pre_vote(now);
@@ -286,15 +288,15 @@
         }
         const auto found = progress_.find(member_id{it.id()});
         acked.push_back(found != progress_.end() && found->second.acked ? *found->second.acked
-                                                                        : lead_since_);
+                                                                        : leader_since_);
     }
     std::sort(acked.begin(), acked.end(), std::greater<>{});
-    return acked.size() < quorum() ? lead_since_ : acked[quorum() - 1];
+    return acked.size() < quorum() ? leader_since_ : acked[quorum() - 1];
 }
 
-bool raft_node::is_upheld(instant now) const
+bool raft_node::has_quorum_contact(instant now) const
 {
-    return role_ == role::leader && now - lease_basis(now) < patience();
+    return role_ == role::leader && now - lease_basis(now) < extended_election_timeout();
 }
 
 bool raft_node::holds_lease(instant now) const
@@ -323,7 +325,7 @@
         std::count_if(all.begin(), all.end(), [](const auto& e) { return e.voter(); }));
 }
 
-void raft_node::note_whole(instant now, const msg& in)
+void raft_node::note_caught_up(instant now, const msg& in)
 {
     if (!hard_.whole() && in.commit() > 0 && commit_ >= in.commit()) {
         hard_.set_whole(true);
--- a/src/consensus/raft_node_elections.cpp
+++ b/src/consensus/raft_node_elections.cpp
@@ -19,7 +19,7 @@
     leader_ = leader;
     votes_.clear();
     progress_.clear();
-    arm_election(now);
+    reset_election_timer(now);
 }
 
 void raft_node::start_pre_vote(instant now)
@@ -64,7 +64,7 @@
 {
     role_ = role::leader;
     leader_ = self_;
-    lead_since_ = now;
+    leader_since_ = now;
     progress_.clear();
     wire::log_entry entry;
     entry.set_term(hard_.term());
@@ -98,21 +98,22 @@
 
 election_contact& raft_node::contact_of(const member_id& it)
 {
-    return is_member(it) ? contacts_[it] : stranger_;
+    return is_member(it) ? contacts_[it] : non_member_contact_;
 }
 
-vote_refusal raft_node::why_no_vote(instant now) const
+vote_refusal raft_node::refusal_for_all(instant now) const
 {
-    const bool follows = leader_heard_ && now - *leader_heard_ < options_.election_timeout;
+    const bool follows =
+        leader_contact_at_ && now - *leader_contact_at_ < options_.election_timeout;
     if (role_ == role::leader || follows) {
         return vote_refusal::follows_leader;
     }
     return now < no_vote_until_ ? vote_refusal::lease_may_run : vote_refusal::none;
 }
 
-vote_refusal raft_node::why_no_vote_for(instant now, const msg& in) const
+vote_refusal raft_node::refusal_for(instant now, const msg& in) const
 {
-    if (const auto why = why_no_vote(now); why != vote_refusal::none) {
+    if (const auto why = refusal_for_all(now); why != vote_refusal::none) {
         return why;
     }
     if (!is_up_to_date(in)) {
@@ -121,10 +122,11 @@
     // A voter that may have lost stored state may vote only for the first leader of an empty log.
     const bool begins_log =
         options_.start != start_mode::later && in.last_index() == 0 && last_index() == 0;
-    return hard_.whole() || begins_log ? vote_refusal::none : vote_refusal::not_whole;
+    return hard_.whole() || begins_log ? vote_refusal::none : vote_refusal::may_have_lost_state;
 }
 
-vote_refusal raft_node::judge_vote(instant now, const member_id& from, const msg& in) const
+vote_refusal raft_node::evaluate_vote_request(instant now, const member_id& from,
+                                              const msg& in) const
 {
     if (in.term() < hard_.term()) {
         return vote_refusal::old_term;
@@ -133,12 +135,12 @@
     if (!free || role_ != role::follower) {
         return vote_refusal::voted_already;
     }
-    return why_no_vote_for(now, in);
+    return refusal_for(now, in);
 }
 
 void raft_node::on_pre_vote(instant now, const member_id& from, const msg& in)
 {
-    const auto why = in.term() > hard_.term() ? why_no_vote_for(now, in) : vote_refusal::old_term;
+    const auto why = in.term() > hard_.term() ? refusal_for(now, in) : vote_refusal::old_term;
     auto& contact = contact_of(from);
     ++contact.votes_taken;
     contact.latest_answer = why;
@@ -151,20 +153,20 @@
 {
     auto& contact = contact_of(from);
     ++contact.votes_taken;
-    contact.latest_answer = why_no_vote(now);
+    contact.latest_answer = refusal_for_all(now);
     if (contact.latest_answer != vote_refusal::none) {
         return; // it follows a leader, or an earlier lease may not have expired
     }
     if (in.term() > hard_.term()) {
         become_follower(now, in.term(), {});
     }
-    contact.latest_answer = judge_vote(now, from, in);
+    contact.latest_answer = evaluate_vote_request(now, from, in);
     const bool grant = contact.latest_answer == vote_refusal::none;
     if (grant) {
         hard_.set_vote(from.str());
         hard_.set_whole(true);
         save_hard_state();
-        arm_election(now);
+        reset_election_timer(now);
     }
     auto out = make(msg::vote_reply, hard_.term());
     out.set_ok(grant);
--- a/src/consensus/raft_node_replication.cpp
+++ b/src/consensus/raft_node_replication.cpp
@@ -65,7 +65,7 @@
 
 void raft_node::receive(instant now, const member_id& from, const msg& in)
 {
-    if (role_ == role::leader && !is_upheld(now)) {
+    if (role_ == role::leader && !has_quorum_contact(now)) {
         become_follower(now, hard_.term(), {});
     }
     contact_of(from).heard = now;
@@ -119,7 +119,7 @@
         return;
     }
     become_follower(now, in.term(), from);
-    leader_heard_ = now;
+    leader_contact_at_ = now;
     auto prev = in.prev_index();
     int skip = 0;
     if (prev < commit_) {
@@ -144,7 +144,7 @@
     }
     const auto match = in.prev_index() + static_cast<std::uint64_t>(in.entries_size());
     advance_commit(std::min(in.commit(), std::max(match, commit_)));
-    note_whole(now, in);
+    note_caught_up(now, in);
     note_grant(now, in);
     reply_append(now, from, in, true);
 }
@@ -166,7 +166,7 @@
         return;
     }
     become_follower(now, in.term(), from);
-    leader_heard_ = now;
+    leader_contact_at_ = now;
     const auto& taken = in.snapshot();
     if (term_at(taken.index()) == taken.term()) {
         // The log already contains the snapshot's last entry; discarding the entries after it could
@@ -258,7 +258,7 @@
 {
     // After a pause of the process this member may have been replaced as leader; entries that it
     // appended would then have an old term.
-    if (!is_upheld(now)) {
+    if (!has_quorum_contact(now)) {
         return {};
     }
     wire::log_entry entry;
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 /// The interval between retries of a failed write. A failed attempt costs one system call.
-constexpr duration write_interval = milliseconds{100};
+constexpr duration write_retry_interval = milliseconds{100};
 
 /// The interval between retries of a failed snapshot write, on which no operation waits.
-constexpr duration compaction_interval = seconds{1};
+constexpr duration compaction_retry_interval = seconds{1};
 
 } // namespace
 
@@ -50,11 +50,11 @@
 
 void replicated_log::tick(instant now)
 {
-    if (failure_ || !write_held_back(now)) {
+    if (failure_ || !retry_unwritten_output(now)) {
         return;
     }
     raft_.tick(now);
-    carry_out();
+    process_output();
     compact_if_grown(now);
 }
 
@@ -64,7 +64,7 @@
         return;
     }
     raft_.receive(now, from, message);
-    carry_out();
+    process_output();
 }
 
 bool replicated_log::propose(instant now, std::string command, answer_handler done)
@@ -77,7 +77,7 @@
         return false;
     }
     pending_[*index] = {raft_.term(), std::move(done)};
-    carry_out();
+    process_output();
     return true;
 }
 
@@ -85,31 +85,31 @@
                                        bool voter)
 {
     const bool done = !is_stopped() && raft_.change_membership(now, member, present, voter);
-    carry_out();
+    process_output();
     return done;
 }
 
-void replicated_log::carry_out()
+void replicated_log::process_output()
 {
-    if (busy_ || is_stopped()) {
+    if (processing_output_ || is_stopped()) {
         return; // called from an answer handler: the outer call processes the new output
     }
-    busy_ = true;
+    processing_output_ = true;
     for (auto out = raft_.take_output();
          out.has_batch || out.install || !out.messages.empty() || !out.committed.empty();
          out = raft_.take_output()) {
-        if (!carry_out(out)) {
+        if (!process_output(out)) {
             break;
         }
     }
-    busy_ = false;
+    processing_output_ = false;
     drop_pending(raft_.term());
 }
 
-bool replicated_log::carry_out(const raft_output& out)
+bool replicated_log::process_output(const raft_output& out)
 {
     if (!persist_timed(out)) {
-        held_back_ = out;
+        unwritten_output_ = out;
         return false;
     }
     for (const auto& it : out.messages) {
@@ -121,19 +121,19 @@
     return true;
 }
 
-bool replicated_log::write_held_back(instant now)
+bool replicated_log::retry_unwritten_output(instant now)
 {
-    if (!held_back_) {
+    if (!unwritten_output_) {
         return true;
     }
-    if (now < write_again_at_) {
+    if (now < write_retry_at_) {
         return false;
     }
-    write_again_at_ = now + write_interval;
-    const auto out = *std::exchange(held_back_, std::nullopt);
-    busy_ = true;
-    const bool written = carry_out(out);
-    busy_ = false;
+    write_retry_at_ = now + write_retry_interval;
+    const auto out = *std::exchange(unwritten_output_, std::nullopt);
+    processing_output_ = true;
+    const bool written = process_output(out);
+    processing_output_ = false;
     return written;
 }
 
@@ -228,7 +228,7 @@
 
 void replicated_log::compact_if_grown(instant now)
 {
-    if (is_stopped() || now < compact_again_at_) {
+    if (is_stopped() || now < compaction_retry_at_) {
         return;
     }
     const bool grown = store_ != nullptr
@@ -241,7 +241,7 @@
     // A failed write is retried later: until then the stored log still holds all entries that the
     // snapshot covers.
     if (snapshot_unsaved_ && !rewrite(raft_.snapshot())) {
-        compact_again_at_ = now + compaction_interval;
+        compaction_retry_at_ = now + compaction_retry_interval;
     }
 }
 
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -113,10 +113,10 @@
 TEST(a_voter, asks_for_votes_soon_after_a_restart_in_which_nobody_leads)
 {
     auto it = member_with(memory(1));
-    const auto patience = raft_options{}.election_timeout;
-    it.tick(start + patience - milliseconds{1});
+    const auto election_timeout = raft_options{}.election_timeout;
+    it.tick(start + election_timeout - milliseconds{1});
     EXPECT_TRUE(it.take_output().messages.empty()) << "a lease that it upheld may still run";
-    it.tick(start + patience + patience / 3);
+    it.tick(start + election_timeout + election_timeout / 3);
     const auto out = it.take_output();
     ASSERT_EQ(out.messages.size(), 2U);
     EXPECT_EQ(out.messages.front().message.kind(), msg::pre_vote);
@@ -156,7 +156,7 @@
     EXPECT_FALSE(grants(it));
 }
 
-TEST(a_new_log, begins_only_when_every_voter_says_that_it_remembers_nothing)
+TEST(a_new_log, begins_only_with_the_votes_of_all_voters)
 {
     raft_node it{start, a, three(), {}, {}, 1};
     auto now = start;
@@ -232,7 +232,7 @@
 }
 
 // Guards against an election that restarts while a vote still waits for a write to a slow disk.
-TEST(a_slow_disk, lengthens_elections_and_the_office_of_a_leader_but_no_lease)
+TEST(a_slow_disk, lengthens_elections_and_leadership_but_no_lease)
 {
     leader_with_an_old_entry at;
     at.it->note_write(at.now, milliseconds{600});
@@ -256,7 +256,7 @@
     EXPECT_TRUE(at.it->is_leader());
 }
 
-TEST(a_slow_disk, is_forgotten_after_two_minutes)
+TEST(a_slow_disk, no_longer_counts_after_two_minutes)
 {
     leader_with_an_old_entry at;
     at.it->note_write(at.now, milliseconds{600});
@@ -267,7 +267,7 @@
     EXPECT_FALSE(at.it->is_leader());
 }
 
-TEST(a_leader, that_hears_nobody_loses_its_lease_then_its_office)
+TEST(a_leader, that_gets_no_answers_loses_its_lease_then_its_leadership)
 {
     leader_with_an_old_entry at;
     at.reply(b, msg::append_reply, 4, true, 3);
@@ -295,7 +295,7 @@
     EXPECT_EQ(*it.granted_at(arrived), asked);
 }
 
-TEST(a_grant, waits_for_the_state_that_it_speaks_of)
+TEST(a_grant, is_valid_only_once_its_state_is_committed)
 {
     auto it = member_with(memory(3));
     auto ahead = append(4, 1, 1, 5);
@@ -362,7 +362,7 @@
     EXPECT_FALSE(out.messages.front().message.ok());
 }
 
-TEST(a_leader_that_stood_still, sends_nothing_as_a_leader)
+TEST(a_leader_after_a_pause, sends_nothing_as_a_leader)
 {
     raft_options options;
     options.start = start_mode::first;
@@ -423,7 +423,7 @@
     std::optional<raft_node> leader;
 };
 
-TEST_F(a_log_that_grows, promotes_learners_in_pairs_up_to_what_losses_ask_for)
+TEST_F(a_log_that_grows, promotes_learners_in_pairs_up_to_the_wanted_voters)
 {
     const member_id d{"d"};
     const member_id e{"e"};
@@ -448,7 +448,7 @@
     EXPECT_NE(*second, *first);
 }
 
-TEST_F(a_log_that_grows, gives_a_silent_voters_place_to_a_learner)
+TEST_F(a_log_that_grows, replaces_a_silent_voter_by_a_learner)
 {
     const member_id d{"d"};
     const auto wanted = voters_for(1);
@@ -469,7 +469,7 @@
     EXPECT_FALSE(next_removal(now, *leader).has_value());
 }
 
-TEST_F(a_log_that_grows, forgets_a_learner_that_is_silent_for_a_minute)
+TEST_F(a_log_that_grows, removes_a_learner_that_is_silent_for_a_minute)
 {
     const member_id d{"d"};
     add_learner(d);
