--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -107,7 +107,7 @@
     /// Returns the number of accelerators on this domain's present nodes that are in no serving
     /// group.
     [[nodiscard]] int stranded_accelerators(instant now) const;
-    [[nodiscard]] const remote_domains& others() const { return others_; }
+    [[nodiscard]] const remote_domains& others() const { return remote_domains_; }
     /// Returns the permanent failure of either log, after which the process must end; empty if
     /// there is none.
     [[nodiscard]] std::optional<reason> failure() const;
@@ -154,19 +154,19 @@
     std::unique_ptr<replicated_log> domain_log_;
     std::unique_ptr<replicated_log> root_log_;
     log_client client_;
-    remote_domains others_;
+    remote_domains remote_domains_;
     group_controller controller_;
     runner_watch watch_;
     std::map<runner_id, runner_report> own_reports_; ///< not yet sent to the domain's other daemons
-    std::map<daemon_id, instant> heard_;
+    std::map<daemon_id, instant> last_message_at_;
     std::set<group_id> proposed_;
     bool proposing_copy_ = false;
-    bool led_ = false;
+    bool was_leading_ = false;
     bool was_ready_ = false;
-    instant next_look_;
+    instant next_controller_step_;
     instant next_pull_;
     instant next_share_;
-    std::size_t pull_from_ = 0;
+    std::size_t pull_turn_ = 0;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/control/log_client.h
+++ b/include/cedarpoint/control/log_client.h
@@ -36,7 +36,7 @@
     };
 
     /// The interval at which a command without an answer is sent again.
-    static constexpr duration ask_again = milliseconds{400};
+    static constexpr duration retry_interval = milliseconds{400};
     /// The maximum number of redirects to a leader that are followed between two timed resends. The
     /// limit is needed because members may redirect to each other.
     static constexpr int max_redirects = 3;
@@ -61,7 +61,7 @@
         std::string log;
         std::string command;
         answer_handler done;
-        instant give_up;
+        instant deadline;
         instant next;
         std::size_t turn = 0;
         daemon_id hint;
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// The interval between steps of the group controller.
-constexpr duration look_interval = milliseconds{100};
+constexpr duration controller_interval = milliseconds{100};
 /// The interval between pulls of the root's configuration and of the other domains' views.
 constexpr duration pull_interval = milliseconds{500};
 /// A runner counts as absent after this many watch intervals without a report.
-constexpr int absent_after_looks = 3;
+constexpr int absent_after_intervals = 3;
 /// The number of times per watch interval that reports are sent to the domain's other daemons.
 constexpr int shares_per_watch_interval = 2;
 
@@ -40,7 +40,7 @@
                [this](const daemon_id& to, wire::envelope it) { send(to, std::move(it)); }},
               options_.seed},
       controller_{options_.control, make_best_fit_placement()},
-      watch_{absent_after_looks * duration{options_.own.watch_interval}}
+      watch_{absent_after_intervals * duration{options_.own.watch_interval}}
 {
 }
 
@@ -134,10 +134,10 @@
         out.emplace_back(it->raft().leader().str());
     }
     for (const auto& it : options_.own.peers) {
-        const bool has_part = log == root_log_id
+        const bool is_voter = log == root_log_id
                                   ? it.root_voter
                                   : it.domain_voter && log == "domain-" + it.failure_domain.str();
-        if (has_part && it.id != options_.own.id) {
+        if (is_voter && it.id != options_.own.id) {
             out.push_back(it.id);
         }
     }
@@ -172,8 +172,8 @@
     }
     client_.tick(now);
     share_reports(now);
-    if (now >= next_look_) {
-        next_look_ = now + look_interval;
+    if (now >= next_controller_step_) {
+        next_controller_step_ = now + controller_interval;
         lead_domain(now);
     }
     if (now >= next_pull_) {
@@ -188,11 +188,11 @@
 {
     const auto& raft = domain_log_->raft();
     if (!raft.holds_lease(now)) {
-        led_ = false;
+        was_leading_ = false;
         return;
     }
-    if (!led_) {
-        led_ = true;
+    if (!was_leading_) {
+        was_leading_ = true;
         controller_.reset();
         proposed_.clear();
         proposing_copy_ = false;
@@ -250,14 +250,14 @@
     if (!all.empty()) {
         wire::envelope out;
         out.mutable_config_pull()->set_have_revision(domain_->state.in_force().value);
-        send(all[pull_from_++ % all.size()], std::move(out));
+        send(all[pull_turn_++ % all.size()], std::move(out));
     }
 }
 
 void control_plane::take_configuration(instant now, const wire::accepted_configuration& accepted)
 {
-    const bool news = accepted.revision() > domain_->state.in_force().value;
-    if (!news || proposing_copy_ || !domain_log_->raft().holds_lease(now)) {
+    const bool is_newer = accepted.revision() > domain_->state.in_force().value;
+    if (!is_newer || proposing_copy_ || !domain_log_->raft().holds_lease(now)) {
         return;
     }
     wire::command command;
@@ -303,11 +303,11 @@
         auto* pull = out.mutable_view_pull();
         pull->set_domain(domain.str());
         pull->set_stamp(now.time_since_epoch().count());
-        pull->set_have_version(others_.version_of(domain));
+        pull->set_have_version(remote_domains_.version_of(domain));
         pull->set_asker(options_.own.id.str());
-        send(all[pull_from_ % all.size()], std::move(out));
+        send(all[pull_turn_ % all.size()], std::move(out));
     }
-    ++pull_from_;
+    ++pull_turn_;
 }
 
 } // namespace cedarpoint
--- a/src/control/control_plane_messages.cpp
+++ b/src/control/control_plane_messages.cpp
@@ -10,7 +10,7 @@
     if (in.version() != protocol_version) {
         return;
     }
-    heard_[daemon_id{in.from()}] = now;
+    last_message_at_[daemon_id{in.from()}] = now;
     switch (in.body_case()) {
     case wire::envelope::kRaft:
         return on_raft(now, in);
@@ -27,7 +27,7 @@
     case wire::envelope::kViewPull:
         return on_view_pull(now, in);
     case wire::envelope::kView:
-        others_.on_view(now, in.view());
+        remote_domains_.on_view(now, in.view());
         return;
     default:
         return;
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -68,9 +68,9 @@
     const auto& own = options_.own;
     std::vector<daemon_id> watchers{own.id};
     for (const auto& it : own.peers) {
-        const auto heard = heard_.find(it.id);
-        if (it.failure_domain == own.failure_domain && it.id != own.id && heard != heard_.end() &&
-            now - heard->second < peer_silence) {
+        const auto heard = last_message_at_.find(it.id);
+        if (it.failure_domain == own.failure_domain && it.id != own.id &&
+            heard != last_message_at_.end() && now - heard->second < peer_silence) {
             watchers.push_back(it.id);
         }
     }
@@ -131,7 +131,7 @@
     for (const auto& [id, it] : domain_->state.groups().records()) {
         add_group_targets(now, it, own_until, options_.own.failure_domain, out);
     }
-    for (const auto& [domain, view] : others_.all()) {
+    for (const auto& [domain, view] : remote_domains_.all()) {
         for (const auto& it : view.groups) {
             add_group_targets(now, it, valid_until(view.granted), domain, out);
         }
@@ -145,7 +145,8 @@
 
 int control_plane::reported_in_flight(const target& it) const
 {
-    if (const auto other = others_.all().find(it.failure_domain); other != others_.all().end()) {
+    if (const auto other = remote_domains_.all().find(it.failure_domain);
+        other != remote_domains_.all().end()) {
         const auto load = other->second.in_flight.find(it.upstream);
         return load == other->second.in_flight.end() ? 0 : load->second;
     }
@@ -176,8 +177,8 @@
         place.draining = domain_->state.drains().runners.contains(place.upstream);
         return;
     }
-    const auto other = others_.all().find(place.failure_domain);
-    if (other != others_.all().end() && other->second.granted) {
+    const auto other = remote_domains_.all().find(place.failure_domain);
+    if (other != remote_domains_.all().end() && other->second.granted) {
         place.valid_until = *other->second.granted + options_.own.grant_ttl;
         place.draining = other->second.drains.runners.contains(place.upstream);
     }
--- a/src/control/log_client.cpp
+++ b/src/control/log_client.cpp
@@ -13,7 +13,7 @@
 void log_client::ask(instant now, std::uint64_t id)
 {
     auto& it = calls_.at(id);
-    it.next = now + ask_again;
+    it.next = now + retry_interval;
     const auto here = [this, id](std::optional<std::string> bytes) {
         wire::command_answer answer;
         if (bytes && answer.ParseFromString(*bytes)) {
@@ -61,7 +61,7 @@
     std::vector<std::uint64_t> late;
     std::vector<std::uint64_t> due;
     for (const auto& [id, it] : calls_) {
-        if (now >= it.give_up) {
+        if (now >= it.deadline) {
             late.push_back(id);
         }
         else if (now >= it.next) {
