--- a/include/cedarpoint/state/root_state.h
+++ b/include/cedarpoint/state/root_state.h
@@ -48,8 +48,8 @@
     bool restore(const std::string& bytes);
 
 private:
-    change_outcome repeat(const wire::change_answer& first, std::uint64_t hash) const;
-    void remember(wire::change_answer answer);
+    change_outcome answer_resend(const wire::change_answer& first, std::uint64_t hash) const;
+    void store_answer(wire::change_answer answer);
 
     wire::accepted_configuration accepted_;
     std::map<std::string, wire::change_answer> answers_;
--- a/src/state/root_state.cpp
+++ b/src/state/root_state.cpp
@@ -5,7 +5,7 @@
 
 namespace cedarpoint {
 
-change_outcome root_state::repeat(const wire::change_answer& first, std::uint64_t hash) const
+change_outcome root_state::answer_resend(const wire::change_answer& first, std::uint64_t hash) const
 {
     if (first.text_hash() != hash) {
         return {change_verdict::reused_id, {}, {first.revision()}, {}, {}};
@@ -20,7 +20,7 @@
 {
     const auto hash = hash_of(change.text());
     if (const auto* first = answer_of(change.change_id())) {
-        return repeat(*first, hash);
+        return answer_resend(*first, hash);
     }
     faults found;
     if (!configuration::parse(change.text(), found)) {
@@ -31,14 +31,14 @@
     answer.set_text_hash(hash);
     if (change.based_on() != accepted_.revision()) {
         answer.set_conflict_with(accepted_.revision());
-        remember(std::move(answer));
+        store_answer(std::move(answer));
         return {change_verdict::conflict, {}, in_force(), change_id{accepted_.change_id()}, {}};
     }
     accepted_.set_revision(accepted_.revision() + 1);
     accepted_.set_change_id(change.change_id());
     accepted_.set_text(change.text());
     answer.set_revision(accepted_.revision());
-    remember(std::move(answer));
+    store_answer(std::move(answer));
     return {change_verdict::accepted, in_force(), {}, {}, {}};
 }
 
@@ -48,7 +48,7 @@
     return it == answers_.end() ? nullptr : &it->second;
 }
 
-void root_state::remember(wire::change_answer answer)
+void root_state::store_answer(wire::change_answer answer)
 {
     order_.push_back(answer.change_id());
     answers_[answer.change_id()] = std::move(answer);
@@ -77,7 +77,7 @@
     root_state next;
     next.accepted_ = in.configuration();
     for (const auto& it : in.answers()) {
-        next.remember(it);
+        next.store_answer(it);
     }
     *this = std::move(next);
     return true;
--- a/src/storage/log_store.cpp
+++ b/src/storage/log_store.cpp
@@ -8,14 +8,14 @@
 namespace cedarpoint {
 namespace {
 
-// The file format, which must stay compatible with existing files: `file_mark`, then frames. A
-// frame consists of `frame_mark` (4 bytes), the payload's length (4), the payload's checksum (8)
+// The file format, which must stay compatible with existing files: `file_magic`, then frames. A
+// frame consists of `frame_magic` (4 bytes), the payload's length (4), the payload's checksum (8)
 // and the payload. Numbers are little-endian.
-constexpr std::string_view file_mark = "cedarpoint log 1\n";
-constexpr std::string_view frame_mark = "CPf1";
-constexpr std::size_t length_at = 4;   // byte offset in the frame
-constexpr std::size_t checksum_at = 8; // byte offset in the frame
-constexpr std::size_t frame_head = 16; // bytes before the payload
+constexpr std::string_view file_magic = "cedarpoint log 1\n";
+constexpr std::string_view frame_magic = "CPf1";
+constexpr std::size_t length_offset = 4;      // byte offset in the frame
+constexpr std::size_t checksum_offset = 8;    // byte offset in the frame
+constexpr std::size_t frame_header_size = 16; // bytes before the payload
 
 template <class T>
 void put(std::string& out, T value)
@@ -37,7 +37,7 @@
 
 std::string make_frame(const std::string& payload)
 {
-    std::string out{frame_mark};
+    std::string out{frame_magic};
     put(out, static_cast<std::uint32_t>(payload.size()));
     put(out, hash_of(payload));
     return out + payload;
@@ -46,25 +46,25 @@
 /// Returns the payload of the frame at the start of `in`; empty if the frame is torn or damaged.
 std::optional<std::string_view> read_frame(std::string_view in)
 {
-    if (in.size() < frame_head || !in.starts_with(frame_mark)) {
+    if (in.size() < frame_header_size || !in.starts_with(frame_magic)) {
         return {};
     }
-    const auto length = get<std::uint32_t>(in.substr(length_at));
-    const auto sum = get<std::uint64_t>(in.substr(checksum_at));
-    if (in.size() - frame_head < length) {
+    const auto length = get<std::uint32_t>(in.substr(length_offset));
+    const auto sum = get<std::uint64_t>(in.substr(checksum_offset));
+    if (in.size() - frame_header_size < length) {
         return {};
     }
-    const auto payload = in.substr(frame_head, length);
+    const auto payload = in.substr(frame_header_size, length);
     if (hash_of(payload) != sum) {
         return {};
     }
     return payload;
 }
 
-bool holds_whole_frame(std::string_view in)
+bool contains_intact_frame(std::string_view in)
 {
-    for (auto at = in.find(frame_mark); at != std::string_view::npos;
-         at = in.find(frame_mark, at + 1)) {
+    for (auto at = in.find(frame_magic); at != std::string_view::npos;
+         at = in.find(frame_magic, at + 1)) {
         if (read_frame(in.substr(at))) {
             return true;
         }
@@ -116,7 +116,7 @@
     }
     const std::string_view text{*bytes};
     const auto payload =
-        text.starts_with(file_mark) ? read_frame(text.substr(file_mark.size())) : std::nullopt;
+        text.starts_with(file_magic) ? read_frame(text.substr(file_magic.size())) : std::nullopt;
     if (!payload ||
         !state.snapshot.ParseFromArray(payload->data(), static_cast<int>(payload->size()))) {
         why = {"read", snapshot_path_, "damaged, or of another version: restore the data folder"};
@@ -132,16 +132,16 @@
         if (!why.step.empty()) {
             return false;
         }
-        const std::string mark{file_mark};
+        const std::string mark{file_magic};
         log_bytes_ = mark.size();
         return files_.replace(log_path_, mark, why);
     }
     const std::string_view text{*bytes};
-    if (!text.starts_with(file_mark)) {
+    if (!text.starts_with(file_magic)) {
         why = {"read", log_path_, "not a log of this version"};
         return false;
     }
-    std::size_t at = file_mark.size();
+    std::size_t at = file_magic.size();
     while (at < text.size()) {
         const auto payload = read_frame(text.substr(at));
         wire::storage_batch batch;
@@ -149,9 +149,9 @@
             break;
         }
         apply_batch(batch, state);
-        at += frame_head + payload->size();
+        at += frame_header_size + payload->size();
     }
-    if (at < text.size() && holds_whole_frame(text.substr(at + 1))) {
+    if (at < text.size() && contains_intact_frame(text.substr(at + 1))) {
         why = {"read", log_path_,
                "damaged at byte " + std::to_string(at) +
                    ", before good records: restore the data folder"};
@@ -179,7 +179,7 @@
 bool log_store::save_snapshot(const wire::log_snapshot& snapshot, const wire::storage_batch& rest,
                               reason& why)
 {
-    const std::string mark{file_mark};
+    const std::string mark{file_magic};
     if (!files_.replace(snapshot_path_, mark + make_frame(snapshot.SerializeAsString()), why)) {
         return false;
     }
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -112,20 +112,20 @@
 
 bool posix_file_system::replace(const std::string& path, const std::string& bytes, reason& why)
 {
-    const auto beside = path + ".new";
+    const auto temporary = path + ".new";
     {
-        const descriptor it{beside, O_WRONLY | O_TRUNC | O_CREAT};
+        const descriptor it{temporary, O_WRONLY | O_TRUNC | O_CREAT};
         if (!it.is_open()) {
-            return fail(why, "open", beside);
+            return fail(why, "open", temporary);
         }
         if (!write_all(it.get(), bytes)) {
-            return fail(why, "write", beside);
+            return fail(why, "write", temporary);
         }
         if (::fsync(it.get()) != 0) {
-            return fail(why, "sync", beside);
+            return fail(why, "sync", temporary);
         }
     }
-    if (::rename(beside.c_str(), path.c_str()) != 0) {
+    if (::rename(temporary.c_str(), path.c_str()) != 0) {
         return fail(why, "rename", path);
     }
     return sync_folder_of(path, why);
--- a/tests/state/domain_state_test.cpp
+++ b/tests/state/domain_state_test.cpp
@@ -77,7 +77,7 @@
     EXPECT_EQ(invariants.check(it.groups()), "");
 }
 
-TEST(a_group, takes_no_step_that_its_life_does_not_have)
+TEST(a_group, refuses_transitions_that_its_state_does_not_allow)
 {
     domain_state it;
     it.apply(assign("g/0", {"n1"}));
@@ -132,7 +132,7 @@
               claim_verdict::granted);
 }
 
-TEST(a_claim, given_up_is_free_for_others_and_dead_for_its_late_copies)
+TEST(a_claim, finished_as_not_run_is_free_for_others_but_not_for_its_late_copies)
 {
     claim_table it;
     const claim_key key{client_account_id{"acme"}, "k"};
