--- a/tests/control/control_scenario_test.cpp
+++ b/tests/control/control_scenario_test.cpp
@@ -48,7 +48,7 @@
             {"cut-one-way", &control_play::cut_one_way},
             {"heal", &control_play::heal},
             {"lose", &control_play::lose},
-            {"return", &control_play::give_back},
+            {"return", &control_play::return_node},
             {"apply", &control_play::apply},
             {"apply-many", &control_play::apply_many},
             {"claim", &control_play::claim},
@@ -65,8 +65,8 @@
                     return {step.word(0) + " is down"};
                 }
                 auto out = (this->*it.function)(step);
-                if (world_ != nullptr && !world_->broken().empty()) {
-                    out.push_back("BROKEN " + world_->broken());
+                if (world_ != nullptr && !world_->violation().empty()) {
+                    out.push_back("BROKEN " + world_->violation());
                 }
                 return out;
             }
@@ -207,7 +207,7 @@
         return {};
     }
 
-    lines give_back(const scenario_step& in)
+    lines return_node(const scenario_step& in)
     {
         world_->lose_node(in.word(0), false);
         return {};
--- a/tests/control/random_run_test.cpp
+++ b/tests/control/random_run_test.cpp
@@ -77,11 +77,11 @@
         for (const auto& it : all) {
             perform(it);
             world_.run(milliseconds{it.pause_ms});
-            if (!world_.broken().empty()) {
-                return world_.broken();
+            if (!world_.violation().empty()) {
+                return world_.violation();
             }
         }
-        return end_well();
+        return end_faults();
     }
 
     [[nodiscard]] std::uint64_t steps() const { return world_.steps(); }
@@ -123,7 +123,7 @@
         }
         else if (what == "wipe") {
             // Only one disk is lost at a time, and only while the others hold all data.
-            if (options_.zones == 3 && options_.disks == 3 && is_calm()) {
+            if (options_.zones == 3 && options_.disks == 3 && is_stable()) {
                 world_.kill(name);
                 world_.wipe(name);
                 world_.start(name);
@@ -163,7 +163,7 @@
 
     /// Ends all faults. The system must then become stable: leaders elected, one configuration in
     /// force, groups usable.
-    std::string end_well()
+    std::string end_faults()
     {
         world_.heal();
         for (const auto& name : names_) {
@@ -177,15 +177,15 @@
                     std::string(1, static_cast<char>('a' + z)) + "n" + std::to_string(n), false);
             }
         }
-        const auto calm = [&] { return is_calm(); };
-        if (!world_.run_until(calm, rest_limit) && world_.broken().empty()) {
+        const auto stable = [&] { return is_stable(); };
+        if (!world_.run_until(stable, rest_limit) && world_.violation().empty()) {
             return fmt::format("seed {}: not at rest {} s after everything was mended",
                                options_.seed, rest_limit.count());
         }
-        return world_.broken();
+        return world_.violation();
     }
 
-    bool is_calm()
+    bool is_stable()
     {
         std::uint64_t newest = 0;
         for (const auto& name : names_) {
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -95,7 +95,7 @@
     it.plane = control_plane::open(now_, std::move(options), it.has_disk ? &it.files : nullptr,
                                    std::move(hooks), why);
     if (it.plane == nullptr) {
-        note(daemon + " does not start: " + why.str());
+        record_violation(daemon + " does not start: " + why.str());
     }
 }
 
@@ -152,19 +152,21 @@
     }
     const int copies = percent(random_) < options_.double_percent ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
-        flying_.push_back({now_ + milliseconds{delay(random_)}, from, to, what});
+        in_flight_.push_back({now_ + milliseconds{delay(random_)}, from, to, what});
     }
 }
 
 void world::deliver()
 {
-    std::vector<flying> due;
-    const auto later = std::stable_partition(flying_.begin(), flying_.end(),
-                                             [&](const flying& it) { return it.due <= now_; });
-    due.assign(std::make_move_iterator(flying_.begin()), std::make_move_iterator(later));
-    flying_.erase(flying_.begin(), later);
-    std::stable_sort(due.begin(), due.end(),
-                     [](const flying& a, const flying& b) { return a.due < b.due; });
+    std::vector<in_flight_message> due;
+    const auto later =
+        std::stable_partition(in_flight_.begin(), in_flight_.end(),
+                              [&](const in_flight_message& it) { return it.due <= now_; });
+    due.assign(std::make_move_iterator(in_flight_.begin()), std::make_move_iterator(later));
+    in_flight_.erase(in_flight_.begin(), later);
+    std::stable_sort(
+        due.begin(), due.end(),
+        [](const in_flight_message& a, const in_flight_message& b) { return a.due < b.due; });
     for (const auto& it : due) {
         auto& to = at(it.to);
         if (to.paused) {
@@ -176,12 +178,12 @@
     }
 }
 
-void world::look(host& it)
+void world::poll_runners(host& it)
 {
-    if (now_ < it.next_look) {
+    if (now_ < it.next_poll) {
         return;
     }
-    it.next_look = now_ + watch_interval;
+    it.next_poll = now_ + watch_interval;
     for (const auto& runner : it.plane->watched(now_)) {
         const auto& engine = engines_.at(runner.node.str());
         if (engine.alive) {
@@ -220,7 +222,7 @@
         for (const auto& what : std::exchange(it->held, {})) {
             it->plane->receive(now_, what);
         }
-        look(*it);
+        poll_runners(*it);
         it->plane->tick(now_);
         if (it->plane->failure()) {
             kill(name); // the real process would exit
@@ -397,28 +399,28 @@
 
 // --- invariants ---------------------------------------------------------------------------------
 
-void world::note(const std::string& what)
+void world::record_violation(const std::string& what)
 {
-    if (broken_.empty()) {
-        broken_ = fmt::format("seed {} at {} ms: {}", options_.seed,
-                              to_ms(now_ - instant{seconds{1000}}), what);
+    if (violation_.empty()) {
+        violation_ = fmt::format("seed {} at {} ms: {}", options_.seed,
+                                 to_ms(now_ - instant{seconds{1000}}), what);
     }
 }
 
 void world::check()
 {
     // The maximum number of messages in flight. Nine daemons without faults have a few dozen.
-    constexpr std::size_t storm = 2000;
-    if (flying_.size() > storm) {
-        note("a storm of messages");
+    constexpr std::size_t max_in_flight = 2000;
+    if (in_flight_.size() > max_in_flight) {
+        record_violation("a storm of messages");
     }
     check_leases();
     check_routes();
     check_configuration();
     for (const auto& [key, holders] : granted) {
         if (holders.size() > 1) {
-            note("claim " + key + " was granted to " + *holders.begin() + " and to " +
-                 *holders.rbegin());
+            record_violation("claim " + key + " was granted to " + *holders.begin() + " and to " +
+                             *holders.rbegin());
         }
     }
 }
@@ -438,7 +440,8 @@
             }
             const auto [found, added] = holder.emplace(log, name);
             if (!added) {
-                note(fmt::format("two leases on {}: {} and {}", log, found->second, name));
+                record_violation(
+                    fmt::format("two leases on {}: {} and {}", log, found->second, name));
             }
         };
         check_one(zone_of(name), it->plane->domain_log());
@@ -455,7 +458,7 @@
             continue;
         }
         if (const auto wrong = invariants_.check(it->plane->domain().groups()); !wrong.empty()) {
-            note(fmt::format("{}: {}", name, wrong));
+            record_violation(fmt::format("{}: {}", name, wrong));
         }
         for (const auto& place : it->plane->targets(now_, [](const runner_id&) { return 0; })) {
             if (!place.group || place.draining || now_ >= place.valid_until) {
@@ -464,8 +467,8 @@
             // A runner that does not check epochs would accept this request for its new group.
             const auto& engine = engines_.at(place.upstream.str().substr(2));
             if (!engine.checks_epoch && engine.state.assignment != place.assignment) {
-                note(name + " may send to " + place.group->str() + " what runner " +
-                     place.upstream.str() + " would take for another group");
+                record_violation(name + " may send to " + place.group->str() + " what runner " +
+                                 place.upstream.str() + " would take for another group");
             }
         }
     }
@@ -482,14 +485,15 @@
         const bool takes_calls = it->plane->granted_at(now_) && accepted.revision() > 0;
         if (takes_calls) {
             if (accepted.revision() < it->newest_revision) {
-                note(name + " went back to revision " + std::to_string(accepted.revision()));
+                record_violation(name + " went back to revision " +
+                                 std::to_string(accepted.revision()));
             }
             it->newest_revision = accepted.revision();
         }
         if (accepted.revision() > 0) {
             const auto [found, added] = texts_.emplace(accepted.revision(), accepted.text());
             if (!added && found->second != accepted.text()) {
-                note("two texts of revision " + std::to_string(accepted.revision()));
+                record_violation("two texts of revision " + std::to_string(accepted.revision()));
             }
         }
     }
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -31,8 +31,8 @@
 };
 
 /// Simulates several control planes with their time, messages, disks and engines. A run is
-/// determined by its seed. After each step the invariants are checked; `broken` returns the first
-/// violation.
+/// determined by its seed. The invariants are checked after each step; `violation` returns the
+/// first violation.
 /// Owns: the planes, their disks, the engines and the messages in flight.
 class world {
 public:
@@ -80,7 +80,7 @@
     [[nodiscard]] bool in_force_everywhere(std::uint64_t revision) const;
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::uint64_t steps() const { return steps_; }
-    [[nodiscard]] const std::string& broken() const { return broken_; }
+    [[nodiscard]] const std::string& violation() const { return violation_; }
 
     std::vector<std::string> answers; ///< to operators and claims, in order of arrival
     std::vector<std::string> events;  ///< state changes of groups
@@ -93,7 +93,7 @@
         std::unique_ptr<control_plane> plane;
         bool paused = false;
         bool has_disk = true;
-        instant next_look;
+        instant next_poll;
         std::uint64_t starts = 0;
         std::uint64_t newest_revision = 0;
         std::vector<wire::envelope> held; ///< messages that arrived while it was paused
@@ -106,7 +106,7 @@
         runner_report state;
         std::optional<instant> loaded_at;
     };
-    struct flying {
+    struct in_flight_message {
         instant due;
         std::string from;
         std::string to;
@@ -116,7 +116,7 @@
     host& at(const std::string& daemon) { return *hosts_.at(daemon); }
     void step();
     void deliver();
-    void look(host& it);
+    void poll_runners(host& it);
     void take_order(const runner_order& order);
     void post(const std::string& from, const std::string& to, const wire::envelope& what);
     [[nodiscard]] bool is_cut(const std::string& from, const std::string& to) const;
@@ -124,19 +124,19 @@
     void check_leases();
     void check_routes();
     void check_configuration();
-    void note(const std::string& what);
+    void record_violation(const std::string& what);
 
     world_options options_;
     std::mt19937_64 random_;
     instant now_{seconds{1000}};
     std::map<std::string, std::unique_ptr<host>> hosts_;
     std::map<std::string, engine> engines_;
-    std::vector<flying> flying_;
+    std::vector<in_flight_message> in_flight_;
     std::set<std::pair<std::string, std::string>> cuts_;
     std::map<std::uint64_t, std::string> texts_; ///< configuration texts by revision, as first seen
     std::uint64_t steps_ = 0;
     group_invariants invariants_;
-    std::string broken_;
+    std::string violation_;
 };
 
 } // namespace cedarpoint::testing_support
