--- a/include/cedarpoint/consensus/replicated_log.h
+++ b/include/cedarpoint/consensus/replicated_log.h
@@ -35,9 +35,9 @@
 /// While writes to the disk fail, the replica stops: it keeps the output of the raft node and
 /// retries the write until it succeeds. Until then it sends nothing and ignores messages and
 /// proposals, as if the process were paused. It thus never votes or acknowledges entries before
-/// they are durable, loses its lease if it leads, and resumes after a successful write. Owns: the
-/// raft node and the log store. Relies on: the state machine, which it refers to; the sender; calls
-/// of `tick` at short intervals.
+/// they are durable, loses its lease if it leads, and resumes after a successful write.
+/// Owns: the raft node and the log store. Relies on: the state machine, which it refers to; the
+/// sender; calls of `tick` at short intervals.
 class replicated_log {
 public:
     /// Called with the answer once the command is applied, or with an empty one if it is unknown
