--- a/tests/control/random_run_test.cpp
+++ b/tests/control/random_run_test.cpp
@@ -1,6 +1,6 @@
-// Random failures from a seed; the invariants are checked after each step, liveness at the end.
-// CEDARPOINT_SEEDS=n runs n seeds, CEDARPOINT_SEED=n only that one. A failing run's operations are
-// printed; with CEDARPOINT_SHRINK set, only those that it needs.
+// Injects random failures derived from a seed. The invariants are checked after each step, liveness
+// at the end. CEDARPOINT_SEEDS=n runs the first n seeds, CEDARPOINT_SEED=n only that one. The
+// operations of a failing run are printed; with CEDARPOINT_SHRINK set, only those that it needs.
 
 #include "control/world.h"
 
@@ -14,13 +14,13 @@
 using testing_support::world;
 using testing_support::world_options;
 
-constexpr int default_seeds = 40; ///< as in CI; docs/MEASUREMENTS.md has a run of 800
+constexpr int default_seeds = 40; ///< as in CI; docs/MEASUREMENTS.md reports a run of 800
 constexpr int operations_per_run = 60;
-constexpr int longest_pause_ms = 1500; ///< between two operations
-/// Of the world's time, for all to come to rest after everything was mended. Not measured.
+constexpr int longest_pause_ms = 1500; ///< the time between two operations is below this
+/// The simulated time within which the system must become stable after all faults have ended.
 constexpr seconds rest_limit{200};
 
-/// One thing that happens, and how long the world runs after it.
+/// One operation, and how long the simulation runs after it.
 struct operation {
     int kind = 0;
     int a = 0;
@@ -62,7 +62,7 @@
     return out;
 }
 
-/// Plays operations against a world. Remembers what was answered, to check that it stays so.
+/// Performs operations on a simulated world, then checks that it becomes stable.
 class random_run {
 public:
     explicit random_run(const world_options& options)
@@ -70,18 +70,18 @@
     {
     }
 
-    /// The first thing that went wrong, or empty.
+    /// Returns the first violation; empty if there is none.
     std::string play(const std::vector<operation>& all)
     {
         world_.run(seconds{4});
         for (const auto& it : all) {
             perform(it);
             world_.run(milliseconds{it.pause_ms});
-            if (!world_.broken().empty()) {
-                return world_.broken();
+            if (!world_.violation().empty()) {
+                return world_.violation();
             }
         }
-        return end_well();
+        return end_faults();
     }
 
     [[nodiscard]] std::uint64_t steps() const { return world_.steps(); }
@@ -122,8 +122,8 @@
             world_.disk(name).work_again();
         }
         else if (what == "wipe") {
-            // One lost disk at a time, and only while the others hold everything.
-            if (options_.zones == 3 && options_.disks == 3 && is_calm()) {
+            // Only one disk is lost at a time, and only while the others hold all data.
+            if (options_.zones == 3 && options_.disks == 3 && is_stable()) {
                 world_.kill(name);
                 world_.wipe(name);
                 world_.start(name);
@@ -161,8 +161,9 @@
         }
     }
 
-    /// Everything mended, the system must come to rest: leaders, one configuration, groups in use.
-    std::string end_well()
+    /// Ends all faults. The system must then become stable: leaders elected, one configuration in
+    /// force, groups usable.
+    std::string end_faults()
     {
         world_.heal();
         for (const auto& name : names_) {
@@ -176,15 +177,15 @@
                     std::string(1, static_cast<char>('a' + z)) + "n" + std::to_string(n), false);
             }
         }
-        const auto calm = [&] { return is_calm(); };
-        if (!world_.run_until(calm, rest_limit) && world_.broken().empty()) {
+        const auto stable = [&] { return is_stable(); };
+        if (!world_.run_until(stable, rest_limit) && world_.violation().empty()) {
             return fmt::format("seed {}: not at rest {} s after everything was mended",
                                options_.seed, rest_limit.count());
         }
-        return world_.broken();
+        return world_.violation();
     }
 
-    bool is_calm()
+    bool is_stable()
     {
         std::uint64_t newest = 0;
         for (const auto& name : names_) {
@@ -210,7 +211,7 @@
     int holders_ = 0;
 };
 
-/// Leaves out operations as long as the run still fails.
+/// Removes each operation without which the run still fails.
 std::vector<operation> shrink(const world_options& options, std::vector<operation> all)
 {
     for (std::size_t n = all.size(); n-- > 0;) {
