--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -33,7 +33,7 @@
         }
     }
     if (known == 0) {
-        fmt::print(stderr, "no such figures; there are relay, failover\n");
+        fmt::print(stderr, "unknown benchmark; available: relay, failover\n");
     }
     return known == 0 ? 1 : 0;
 }
