--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 /// Upper bound of every duration in the settings: one day.
-constexpr std::int64_t longest_ms = 86'400'000;
+constexpr std::int64_t max_duration_ms = 86'400'000;
 /// Needs nine voters.
-constexpr std::int64_t most_tolerated_losses = 4;
+constexpr std::int64_t max_tolerated_losses = 4;
 
 std::optional<endpoint> read_endpoint(json_reader& in, const char* key, bool needed)
 {
@@ -25,7 +25,7 @@
 
 milliseconds read_ms(json_reader& in, const char* key, milliseconds fallback)
 {
-    return milliseconds{in.integer_or(key, fallback.count(), {1, longest_ms})};
+    return milliseconds{in.integer_or(key, fallback.count(), {1, max_duration_ms})};
 }
 
 void read_seeds(json_reader& in, fleet_settings& out)
@@ -45,10 +45,10 @@
 
 void read_budget(json_reader& in, retry_budget_options& out)
 {
-    constexpr double most_slack = 1e6;
+    constexpr double max_slack = 1e6;
     out.ratio = in.number_or("ratio", out.ratio, 0, 1);
     out.window = read_ms(in, "window_ms", out.window);
-    out.slack = in.number_or("slack", out.slack, 0, most_slack);
+    out.slack = in.number_or("slack", out.slack, 0, max_slack);
     out.safety = in.number_or("safety", out.safety, 0, 1);
 }
 
@@ -84,7 +84,7 @@
     read_seeds(in, own);
     own.first_start = in.boolean_or("first_start", false);
     own.tolerated_losses =
-        static_cast<std::size_t>(in.integer_or("tolerated_losses", 1, {0, most_tolerated_losses}));
+        static_cast<std::size_t>(in.integer_or("tolerated_losses", 1, {0, max_tolerated_losses}));
     own.heartbeat = read_ms(in, "heartbeat_ms", own.heartbeat);
     own.stall = read_ms(in, "stall_ms", own.stall);
     own.stop_bound = read_ms(in, "stop_bound_ms", own.stop_bound);
