--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -6,13 +6,14 @@
 
 namespace cedarpoint {
 
-/// The machine's monotonic clock, which also counts while the process is stopped or the machine is
+/// Returns the monotonic time. This clock also runs while the process is stopped or the machine is
 /// suspended.
 instant steady_now();
-/// The clock by which timers of libraries go. Unlike `steady_now` it does not count the time for
-/// which the machine was suspended.
+/// Returns the time of the clock that library timers use. Unlike `steady_now`, this clock stops
+/// while the machine is suspended.
 instant timer_now();
-/// Wall time since 1970; for windows that outlive a machine, never for leases.
+/// Returns the wall time in milliseconds since 1970. Used for periods that can outlast a single
+/// machine, never for leases.
 std::uint64_t wall_ms();
 
 } // namespace cedarpoint
--- a/src/io/connect_probe.cpp
+++ b/src/io/connect_probe.cpp
@@ -6,7 +6,7 @@
 namespace cedarpoint {
 namespace {
 
-/// How long a connection may take.
+/// Time limit for establishing the connection.
 constexpr int connect_timeout_ms = 300;
 
 } // namespace
--- a/src/io/connect_probe.h
+++ b/src/io/connect_probe.h
@@ -10,16 +10,16 @@
 
 namespace cedarpoint {
 
-/// One attempt to connect to an address. Closes the connection again; sends nothing.
+/// Tries once to connect to an address and closes the connection without sending anything.
 class connect_probe {
 public:
     enum class result {
         connected,
-        refused, ///< the address answered with a reset: nothing listens there
-        failed   ///< no answer in time
+        refused, ///< the address answered with a reset because no process listens there
+        failed   ///< any other error, or no answer within the timeout
     };
 
-    /// `on_end` is called once, perhaps within `start`, and may not destroy the probe.
+    /// `on_end` is called once, possibly from within `start`, and must not destroy the probe.
     connect_probe(const endpoint& to, std::function<void(result)> on_end);
     connect_probe(const connect_probe&) = delete;
     connect_probe& operator=(const connect_probe&) = delete;
--- a/src/io/crash_log.h
+++ b/src/io/crash_log.h
@@ -5,7 +5,7 @@
 
 namespace cedarpoint {
 
-/// One line for each request that was in flight at a runner that has ended.
+/// Writes one log line for each request that was in flight at a runner whose process ended.
 void log_runner_end(const runner_id& runner, const crash_histories& in_flight);
 
 } // namespace cedarpoint
--- a/src/io/disk_watch.h
+++ b/src/io/disk_watch.h
@@ -6,10 +6,10 @@
 
 namespace cedarpoint {
 
-/// Writes a line when a daemon's disk begins or ceases to refuse writes.
+/// Writes a log line when writes to a daemon's disk start to fail and when they succeed again.
 class disk_watch {
 public:
-    /// `refused`: why the latest write was refused; empty if it worked.
+    /// `refused`: why the latest write failed; empty if it succeeded.
     void note(const std::optional<reason>& refused);
     [[nodiscard]] bool refuses() const { return refuses_; }
 
--- a/src/io/header_rules.h
+++ b/src/io/header_rules.h
@@ -6,20 +6,20 @@
 
 namespace cedarpoint {
 
-/// True for header fields that concern one connection only and are never passed on. The length is
-/// among them: it is written anew for each connection.
+/// Returns true for header fields that apply to a single connection and are never forwarded.
+/// Content-Length is one of them because it is computed again for each connection.
 [[nodiscard]] bool is_hop_by_hop(std::string_view name);
 
-/// A head without its hop-by-hop fields.
+/// Returns the head without its hop-by-hop fields.
 [[nodiscard]] http_head without_hop_by_hop(const http_head& head);
 
-/// When to come back, in seconds: to a caller, or from a runner to this daemon.
+/// Delay in seconds before the next request. Sent to callers, and by runners to this daemon.
 inline constexpr const char* retry_after_field = "Retry-After";
 
-/// The head without the fields of this name.
+/// Returns the head without the fields called `name`.
 [[nodiscard]] http_head without_field(const http_head& head, std::string_view name);
 
-/// True if the body is a stream of server-sent events.
+/// Returns true if the body is a stream of server-sent events.
 [[nodiscard]] bool is_event_stream(const http_head& head);
 
 } // namespace cedarpoint
--- a/src/io/http_connection.cpp
+++ b/src/io/http_connection.cpp
@@ -9,12 +9,14 @@
 namespace cedarpoint {
 namespace {
 
-/// A caller's connection without a request is closed after this.
+/// Time after which a connection without a request is closed.
 constexpr int idle_timeout_ms = 75'000;
-constexpr int stall_timeout_ms = 120'000; ///< a caller that takes nothing for this long is gone
-/// After the last answer, so that the caller can read it before the connection is reset.
+/// Time after which a connection is closed whose caller takes no bytes of the answer.
+constexpr int stall_timeout_ms = 120'000;
+/// Time between the last answer and a reset, so that the caller can read the answer.
 constexpr int linger_ms = 1000;
-/// Bytes read ahead of the parser: holds a caller that sends faster than it is served.
+/// Bytes read ahead of the parser. The bound slows down callers that send faster than the daemon
+/// reads.
 constexpr qint64 read_buffer = 65536;
 
 } // namespace
@@ -44,7 +46,8 @@
 
 http_connection::~http_connection()
 {
-    // The socket ends after the other members and would still report its end to them.
+    // Members declared after the socket are destroyed before it, and its destructor would still
+    // emit signals to them.
     socket_.disconnect(this);
     if (reply_ != nullptr) {
         reply_->connection_ = nullptr;
@@ -104,7 +107,7 @@
     head_method_ = request.method == "HEAD";
     continued_ = false;
     phase_ = phase::answering;
-    timer_.stop(); // the answer may take long; only a caller that doesn't read is timed
+    timer_.stop(); // the answer has no time limit; `write` times callers that don't read
     const auto state = read_socket_state(static_cast<int>(socket_.socketDescriptor()));
     request.waited = state.since_data;
     if (state.peer_has_closed) {
@@ -190,7 +193,7 @@
     }
     phase_ = phase::reading;
     timer_.start(idle_timeout_ms);
-    // Not from within the handler's call: the next request may be waiting already.
+    // Queued, because the next request may have arrived already and this runs within the handler.
     QMetaObject::invokeMethod(
         this,
         [this] {
@@ -214,7 +217,7 @@
 
 void http_connection::linger()
 {
-    // Closing with unread bytes would reset the connection and could take the answer with it.
+    // Closing a socket with unread bytes resets the connection, which could discard the answer.
     phase_ = phase::lingering;
     pending_.clear();
     socket_.readAll();
@@ -229,7 +232,7 @@
         return;
     }
     if (phase_ == phase::answering && socket_.bytesToWrite() == 0) {
-        return; // it is the runner that takes its time
+        return; // the caller has taken everything; the runner is still producing the answer
     }
     if (phase_ == phase::answering && ++quiet_rounds_ < 2) {
         timer_.start();
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -13,9 +13,9 @@
 
 namespace cedarpoint {
 
-/// One caller's connection. Reads one request, hands it on, and reads the next only when the answer
-/// to the first is complete: so answers can't mix, and a flood of pipelined requests waits in the
-/// kernel.
+/// A caller's connection. Reads one request, passes it to the handler, and reads the next one only
+/// after the answer is complete. Answers therefore can't mix, and pipelined requests wait in the
+/// kernel's socket buffer.
 class http_connection final : public QObject {
 public:
     http_connection(http_listener& owner, qintptr descriptor);
@@ -58,7 +58,7 @@
     bool continued_ = false;
     bool closing_ = false;
     bool chunked_ = false;
-    int quiet_rounds_ = 0; ///< half stall timeouts since the caller last took bytes
+    int quiet_rounds_ = 0; ///< half stall timeouts without bytes taken by the caller
 };
 
 } // namespace cedarpoint
--- a/src/io/http_listener.h
+++ b/src/io/http_listener.h
@@ -16,8 +16,8 @@
 
 class http_connection;
 
-/// The answer to one request. Outlives its connection: calls then do nothing. It has none from the
-/// beginning if the caller had closed it before the request was read.
+/// The answer to one request. May outlive its connection; calls then have no effect. There is no
+/// connection from the start if the caller closed it before the request was read.
 class http_reply {
 public:
     explicit http_reply(http_connection* connection) : connection_{connection} {}
@@ -25,22 +25,22 @@
     http_reply(const http_reply&) = delete;
     http_reply& operator=(const http_reply&) = delete;
 
-    /// The whole answer at once.
+    /// Sends the whole answer at once.
     void send(http_head head, const std::string& body);
-    /// The beginning of an answer of unknown length; `write` and `finish` follow.
+    /// Sends the head of an answer of unknown length; `write` and `finish` follow.
     void begin(http_head head);
     void write(const std::string& bytes);
     void finish();
-    /// Ends the connection so that the caller sees the answer as cut.
+    /// Aborts the connection so that the caller can see that the answer is incomplete.
     void abort();
 
     [[nodiscard]] bool has_begun() const { return begun_; }
     [[nodiscard]] bool is_open() const { return connection_ != nullptr; }
-    /// Bytes that the caller has not taken yet.
+    /// Returns the number of bytes that are not yet written to the connection.
     [[nodiscard]] std::size_t buffered() const;
 
-    std::function<void()> on_gone;    ///< the caller went away before the end
-    std::function<void()> on_drained; ///< the caller has taken some of what was buffered
+    std::function<void()> on_gone;    ///< called if the caller disconnects before the end
+    std::function<void()> on_drained; ///< called when buffered bytes were written
 
 private:
     friend class http_connection;
@@ -50,8 +50,8 @@
 
 using http_handler = std::function<void(http_request, std::shared_ptr<http_reply>)>;
 
-/// Accepts HTTP/1.1 connections. Pipelined requests are answered one after the other; everything a
-/// caller can make grow is bounded.
+/// Accepts HTTP/1.1 connections. Pipelined requests are answered one after the other. All memory
+/// that a caller can make the daemon allocate is bounded.
 class http_listener final : public QTcpServer {
 public:
     http_listener(caller_limits limits, http_handler handler);
@@ -62,7 +62,7 @@
     bool start(const endpoint& at, reason& why);
     [[nodiscard]] endpoint address() const;
     [[nodiscard]] std::size_t connections() const { return open_.size(); }
-    /// Stops accepting; open connections close after the answer they are giving.
+    /// Stops accepting connections. Open connections close after their current answer.
     void stop();
     /// Called for each request refused before it reached the handler.
     std::function<void(error_code)> on_refused;
--- a/src/io/http_message.h
+++ b/src/io/http_message.h
@@ -9,17 +9,17 @@
 
 namespace cedarpoint {
 
-/// Header fields in their order. Names compare without case.
+/// Header fields in the order of the message. Names are compared case-insensitively.
 class http_fields {
 public:
     void add(std::string name, std::string value)
     {
         all_.emplace_back(std::move(name), std::move(value));
     }
-    /// The first value under a name; empty if there is none.
+    /// Returns the first value of a field; empty if there is none.
     [[nodiscard]] std::string_view get(std::string_view name) const;
     [[nodiscard]] bool has(std::string_view name) const;
-    /// Every value under a name, in their order.
+    /// Returns all values of a field in the order of the message.
     [[nodiscard]] std::vector<std::string_view> values(std::string_view name) const;
     [[nodiscard]] const std::vector<std::pair<std::string, std::string>>& all() const
     {
@@ -32,22 +32,22 @@
 
 bool equal_ignoring_case(std::string_view a, std::string_view b);
 
-/// A request read whole.
+/// A complete request.
 struct http_request {
     std::string method;
     std::string target;
     http_fields fields;
     std::string body;
-    duration waited{}; ///< since its latest bytes came, when it was read
+    duration waited{}; ///< from the arrival of its last bytes until it was read
 };
 
-/// The beginning of an answer.
+/// The status and the header fields of an answer.
 struct http_head {
     int status = 0;
     http_fields fields;
 };
 
-/// "HTTP/1.1 200 OK" and the fields, with the empty line.
+/// Returns the status line, the fields and the empty line that ends the head.
 std::string serialize_head(const http_head& head);
 
 } // namespace cedarpoint
--- a/src/io/http_parser.cpp
+++ b/src/io/http_parser.cpp
@@ -9,8 +9,8 @@
 
 namespace http = boost::beast::http;
 
-/// A body that is appended to and may be emptied between reads. Unlike the library's string body
-/// it takes no peer's word for a length to reserve.
+/// A body that grows with the bytes received and may be emptied between reads. Unlike Beast's
+/// string body, it does not reserve memory for the length that a peer announces.
 struct growing_body {
     using value_type = std::string;
 
@@ -170,7 +170,7 @@
 struct http_response_parser::impl {
     http::response_parser<growing_body> parser;
     http_fault fault = http_fault::none;
-    std::string kept; ///< head bytes that the parser wants to see whole
+    std::string kept; ///< head bytes that the parser needs again with the rest
 };
 
 http_response_parser::http_response_parser(std::size_t max_head, bool head_only)
--- a/src/io/http_parser.h
+++ b/src/io/http_parser.h
@@ -13,7 +13,7 @@
 /// Why a message could not be read.
 enum class http_fault { none, malformed, head_too_large, body_too_large, cut };
 
-/// Reads requests off a connection, one at a time. Does no I/O.
+/// Parses the requests of a connection, one at a time. Does no I/O.
 class http_request_parser {
 public:
     http_request_parser(std::size_t max_head, std::size_t max_body);
@@ -21,18 +21,18 @@
     http_request_parser(const http_request_parser&) = delete;
     http_request_parser& operator=(const http_request_parser&) = delete;
 
-    /// Takes bytes; returns how many it used. What is left belongs to the next request.
+    /// Parses bytes and returns how many were used. The rest belongs to the next request.
     std::size_t put(std::string_view bytes);
     [[nodiscard]] http_fault fault() const;
     [[nodiscard]] bool is_started() const;
     [[nodiscard]] bool is_head_done() const;
     [[nodiscard]] bool is_done() const;
-    /// The caller waits for "100 Continue" before it sends the body.
+    /// Returns true if the caller waits for "100 Continue" before it sends the body.
     [[nodiscard]] bool expects_continue() const;
-    /// The caller speaks 1.1 and did not ask to close.
+    /// Returns true if the connection stays open after the answer.
     [[nodiscard]] bool keeps_alive() const;
     [[nodiscard]] bool is_version_11() const;
-    /// The request, once done; the parser is then ready for the next one.
+    /// Returns the complete request and prepares the parser for the next one.
     http_request take();
 
 private:
@@ -44,7 +44,7 @@
     std::unique_ptr<impl> impl_;
 };
 
-/// Reads one answer off a connection. Body bytes come out as they arrive. Does no I/O.
+/// Parses one answer of a connection. Body bytes are available as they arrive. Does no I/O.
 class http_response_parser {
 public:
     http_response_parser(std::size_t max_head, bool head_only);
@@ -52,15 +52,16 @@
     http_response_parser(const http_response_parser&) = delete;
     http_response_parser& operator=(const http_response_parser&) = delete;
 
-    /// Takes bytes; returns how many it used. Those behind a whole answer stay with the caller.
+    /// Parses bytes and returns how many were used. Bytes after a complete answer are not used.
     std::size_t put(std::string_view bytes);
-    /// The peer closed: the end of an answer without a length, or a cut.
+    /// Reports that the peer closed the connection. This completes an answer without a length; any
+    /// other incomplete answer is cut.
     void put_eof();
     [[nodiscard]] http_fault fault() const;
     [[nodiscard]] bool is_head_done() const;
     [[nodiscard]] bool is_done() const;
     [[nodiscard]] http_head head() const;
-    /// Body bytes that have come since the last call.
+    /// Returns the body bytes parsed since the previous call.
     std::string take_body();
 
 private:
--- a/src/io/listen_step.h
+++ b/src/io/listen_step.h
@@ -2,9 +2,9 @@
 
 namespace cedarpoint {
 
-/// The step of a reason why an address can't be listened to.
+/// The `step` of a reason that reports a failure to listen at an address.
 inline constexpr const char* listen_step = "listen";
-/// The same if another process holds it now: it may be free a little later.
+/// The `step` if another process uses the address. The address may become free shortly.
 inline constexpr const char* listen_in_use_step = "listen (in use)";
 
 } // namespace cedarpoint
--- a/src/io/log_line.cpp
+++ b/src/io/log_line.cpp
@@ -13,7 +13,7 @@
 namespace cedarpoint {
 namespace {
 
-constexpr double lines_per_second = 200; ///< of one kind of event
+constexpr double lines_per_second = 200; ///< limit for lines with the same event
 
 bool json_lines = false;
 
--- a/src/io/log_line.h
+++ b/src/io/log_line.h
@@ -9,9 +9,9 @@
 
 namespace cedarpoint {
 
-/// One structured line on standard output: time, event, then the fields in their order. Never
-/// blocks; lines of one kind are bounded, and what is left out is counted in a line.
-/// Prompts and keys never go into a field.
+/// A structured line on standard output: the time, the event, then the fields in the order they
+/// were added. Never blocks. The rate of lines with the same event is limited, and a summary line
+/// gives the number of lines left out. Fields must not contain prompts or keys.
 class log_line {
 public:
     explicit log_line(std::string_view event) : event_{event} {}
@@ -23,10 +23,10 @@
         return *this;
     }
 
-    /// Writes the line. A field that is empty is left out.
+    /// Writes the line without its empty fields.
     void write() const;
 
-    /// Chooses JSON lines over key=value, for the whole process.
+    /// Selects JSON lines instead of key=value lines for the whole process.
     static void use_json(bool it);
 
 private:
--- a/src/io/log_sink.h
+++ b/src/io/log_sink.h
@@ -6,16 +6,17 @@
 
 namespace cedarpoint {
 
-/// Where log lines go: a descriptor that is never waited for. What it doesn't take at once is kept
-/// up to a bound, then dropped and counted; the count is told when there is room again.
+/// Writes log lines to a descriptor without blocking. Lines that can't be written at once are
+/// buffered up to a bound; further lines are dropped. When there is room again, a line reports how
+/// many were dropped.
 class log_sink {
 public:
-    /// Bytes of lines that wait for the reader; more lines are dropped and counted.
+    /// Capacity of the buffer in bytes.
     static constexpr std::size_t most_kept = 256 << 10;
 
     explicit log_sink(int descriptor);
     void write(std::string_view line);
-    /// Tries to write what is kept.
+    /// Writes buffered lines as far as the descriptor accepts them.
     void flush();
     [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
@@ -28,13 +29,13 @@
     std::uint64_t told_ = 0;
 };
 
-/// Lines of one kind that may be written in a second; the rest is counted.
+/// Limits the rate of log lines of one kind with a token bucket and counts the lines left out.
 class log_rate {
 public:
     explicit log_rate(double per_second) : per_second_{per_second}, tokens_{per_second} {}
-    /// True if one more line may be written at `now_ms`.
+    /// Returns true if one more line may be written at `now_ms`.
     bool take(std::int64_t now_ms);
-    /// Lines left out since the last call.
+    /// Returns the number of lines left out since the previous call.
     std::uint64_t take_suppressed();
     [[nodiscard]] std::uint64_t suppressed() const { return suppressed_; }
 
--- a/src/io/mesh.cpp
+++ b/src/io/mesh.cpp
@@ -10,20 +10,22 @@
 namespace cedarpoint {
 namespace {
 
-/// Messages that wait for one peer; more are dropped.
+/// Length of the queues in messages. Messages to a peer whose queue is full are dropped.
 constexpr int high_water = 10'000;
-/// Time to the first attempt to connect again; it doubles up to the second figure.
+/// Delay before the first attempt to reconnect. It doubles up to `reconnect_max_ms`.
 constexpr int reconnect_ms = 50;
 constexpr int reconnect_max_ms = 400;
-/// How long a connection may take.
+/// Time limit for establishing a connection.
 constexpr int connect_timeout_ms = 300;
-/// How long a peer that took the connection may be silent. ZeroMQ waits 30 s by default: after a
-/// cut daemons waited for such peers (soak seed 150; mesh_test: 30.1 s before, 1.6 s with this).
+/// Time limit for the handshake after a peer accepted the connection. With the 30 s that ZeroMQ
+/// uses by default, daemons stayed disconnected after a network partition from peers that had
+/// accepted but never answered (soak seed 150; mesh_test takes 30.1 s with the default, 1.6 s with
+/// this).
 constexpr int handshake_ms = 1500;
-/// ZeroMQ's own heartbeats, which end a connection that is dead.
+/// Interval and timeout of ZeroMQ's heartbeats, which close dead connections.
 constexpr int heartbeat_ms = 1000;
 constexpr int heartbeat_timeout_ms = 2500;
-/// Bounds what a peer can make this process allocate; snapshots go in one message.
+/// Bounds the memory that a peer can make this process allocate. A snapshot is a single message.
 constexpr std::size_t max_message = 64 << 20;
 constexpr const char* zap_address = "inproc://zeromq.zap.01";
 constexpr const char* zap_domain = "cedarpoint";
@@ -128,9 +130,9 @@
     out.set(zmq::sockopt::sndhwm, high_water);
     out.set(zmq::sockopt::reconnect_ivl, reconnect_ms);
     out.set(zmq::sockopt::reconnect_ivl_max, reconnect_max_ms);
-    // A peer without power says nothing: the connection is given up, not waited for.
+    // A machine that is switched off does not answer, so that only a timeout ends the attempt.
     out.set(zmq::sockopt::connect_timeout, connect_timeout_ms);
-    // Nor is one waited for that takes the connection and does not speak.
+    // A stopped process can accept a connection and never complete the handshake.
     out.set(zmq::sockopt::handshake_ivl, handshake_ms);
     out.set(zmq::sockopt::heartbeat_ivl, heartbeat_ms);
     out.set(zmq::sockopt::heartbeat_timeout, heartbeat_timeout_ms);
@@ -212,7 +214,7 @@
         return;
     }
     // ZAP 1.0 over a router: identity, empty, version, request id, domain, address, peer identity,
-    // mechanism, the client's public key. Only the fleet's own key is let in.
+    // mechanism, the client's public key. Only clients with the fleet's key are accepted.
     std::array<std::uint8_t, key_bytes> own{};
     zmq_z85_decode(own.data(), public_key_.c_str());
     for (;;) {
@@ -224,7 +226,7 @@
             }
             parts.push_back(std::move(part));
         } while (parts.back().more());
-        constexpr std::size_t curve_parts = 9; // of a ZAP request with a key (ZeroMQ RFC 27)
+        constexpr std::size_t curve_parts = 9; // frames of a ZAP request with a key (RFC 27)
         const bool fine = parts.size() == curve_parts && parts[7].to_string_view() == "CURVE" &&
                           parts[8].size() == key_bytes &&
                           std::memcmp(parts[8].data(), own.data(), key_bytes) == 0;
--- a/src/io/mesh.h
+++ b/src/io/mesh.h
@@ -15,8 +15,8 @@
 
 namespace cedarpoint {
 
-/// Messages between daemons over ZeroMQ. Delivers a message once or not at all; a message to a peer
-/// that is not connected is dropped, never kept for later.
+/// Exchanges messages between daemons over ZeroMQ. A message is delivered at most once. A message
+/// to a peer that is not connected is dropped, not queued.
 class mesh {
 public:
     using handler = std::function<void(const wire::envelope&)>;
@@ -27,16 +27,17 @@
     mesh& operator=(const mesh&) = delete;
 
     bool start(const settings& own, const std::string& secret_key, reason& why);
-    /// Listens at `at` for daemons that find each other: any may speak, and ids are addresses.
+    /// Listens at `at` for daemons that are not listed in the settings. Messages from any sender
+    /// are accepted, and the id of a daemon is its address.
     bool start_open(const endpoint& at, reason& why);
-    /// Connects to a daemon that was found. Its id is its address.
+    /// Connects to a daemon whose id is its address.
     void add_peer(const daemon_id& peer);
     void remove_peer(const daemon_id& peer);
-    /// False if nothing was sent: the peer is unknown, there is no connection to it yet, or too
-    /// much waits for it. A message that was sent may be lost all the same.
+    /// Returns false if nothing was sent because the peer is unknown, is not connected yet, or its
+    /// send queue is full. A message that was sent can still be lost.
     bool send(const daemon_id& to, const wire::envelope& envelope);
-    /// Reads all that has come. Called on the socket's event and, since that is edge-triggered,
-    /// after each send and from the daemon's tick.
+    /// Reads and handles all messages received so far. Called on the socket's event. That event is
+    /// edge-triggered, so the tick of the owner also calls this, before and after it sends.
     void drain();
 
     [[nodiscard]] std::uint64_t bytes_out() const { return bytes_out_; }
@@ -51,10 +52,10 @@
 
     handler handler_;
     zmq::context_t context_{1};
-    std::unique_ptr<zmq::socket_t> gate_; ///< says who may connect (ZAP); only with keys
+    std::unique_ptr<zmq::socket_t> gate_; ///< authenticates connections (ZAP); only with keys
     std::unique_ptr<zmq::socket_t> inbox_;
     std::map<daemon_id, zmq::socket_t> peers_;
-    std::map<daemon_id, std::string> known_; ///< peers by id, to refuse strangers' names
+    std::map<daemon_id, std::string> known_; ///< addresses of peers; other senders are rejected
     std::unique_ptr<QSocketNotifier> notifier_;
     std::unique_ptr<QSocketNotifier> gate_notifier_;
     std::string public_key_;
@@ -62,7 +63,7 @@
     std::uint64_t bytes_out_ = 0;
     std::uint64_t bytes_in_ = 0;
     bool draining_ = false;
-    bool open_ = false; ///< strangers are heard
+    bool open_ = false; ///< messages from unknown senders are accepted
 };
 
 } // namespace cedarpoint
--- a/src/io/metrics_registry.h
+++ b/src/io/metrics_registry.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// Metrics of one daemon, as Prometheus reads them. Names end in their unit.
+/// The Prometheus metrics of one daemon. Names end in their unit.
 class metrics_registry {
 public:
     prometheus::Counter& add_counter(const char* name, const char* help);
@@ -20,18 +20,18 @@
     /// `bounds`: upper bounds of the buckets, in the metric's unit.
     prometheus::Histogram& add_histogram(const char* name, const char* help,
                                          std::vector<double> bounds);
-    /// Counters or gauges that differ by their labels.
+    /// Adds a family of counters or gauges that differ in their labels.
     prometheus::Family<prometheus::Counter>& add_counters(const char* name, const char* help);
     prometheus::Family<prometheus::Gauge>& add_gauges(const char* name, const char* help);
 
-    /// The text exposition format.
+    /// Returns all metrics in the text exposition format.
     [[nodiscard]] std::string text() const;
 
 private:
     prometheus::Registry registry_;
 };
 
-/// The unit of metrics of time.
+/// Converts to seconds, the unit of all time metrics.
 [[nodiscard]] double to_metric_seconds(duration in);
 
 } // namespace cedarpoint
--- a/src/io/runner_connection.cpp
+++ b/src/io/runner_connection.cpp
@@ -7,10 +7,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of a runner's head; one that is larger is not valid.
+/// Largest valid head of an answer, in bytes.
 constexpr std::size_t max_answer_head = 65536;
 
-/// The value of "timeout=N" in a Keep-Alive header.
+/// Returns the value of "timeout=N" in a Keep-Alive header.
 std::optional<seconds> read_keep_alive(std::string_view value)
 {
     constexpr std::string_view name = "timeout=";
@@ -102,7 +102,7 @@
 void runner_connection::read(std::string_view fresh)
 {
     if (!busy_) {
-        spoiled_ = true; // bytes that no request waits for
+        spoiled_ = true; // the bytes belong to no request
         socket_.close();
         return;
     }
@@ -143,8 +143,8 @@
         foreign_ = false;
         return;
     }
-    // Bytes behind the answer belong to no request, and a body that is still going out is in the
-    // way of the next one.
+    // Not reusable if bytes follow the answer, which belong to no request, or if the body of this
+    // request is not written completely, since the next request would follow it.
     spoiled_ = spoiled_ || !pending_.empty() || socket_.unwritten() > 0;
     end(exchange_end::complete, "", "");
 }
--- a/src/io/runner_connection.h
+++ b/src/io/runner_connection.h
@@ -16,36 +16,37 @@
 
 namespace cedarpoint {
 
-/// How an exchange on a kept connection ended.
+/// How an exchange on a persistent connection ended.
 enum class exchange_end {
     complete, ///< the whole answer arrived
-    refused,  ///< the address answered the connection with a reset: nothing listens there
-    unsent,   ///< the connection was not made
-    cut       ///< anything else: the runner may have taken the request
+    refused,  ///< the connection was refused: no process listens there
+    unsent,   ///< the connection was not established
+    cut       ///< any other end: the runner may have received the request
 };
 
-/// What the owner of an exchange is told. After `on_end` it hears nothing more.
+/// Callbacks to the owner of an exchange. `on_end` is the last one.
 struct exchange_handlers {
-    std::function<void()> on_sent; ///< bytes were handed to the connection
+    std::function<void()> on_sent; ///< called just before the request is written
     std::function<void(const http_head&)> on_head;
     std::function<void(std::string)> on_body;
     std::function<void(exchange_end, const reason&)> on_end;
 };
 
-/// One request for a kept connection.
+/// One request for a persistent connection.
 struct exchange_request {
     std::string bytes; ///< head and body as sent
-    /// Makes the bytes when the connection is there, for what depends on the time. Empty: as given.
+    /// Makes the bytes once the connection is established, for requests that depend on the time.
+    /// Empty: `bytes` is sent.
     std::function<std::string()> make_bytes;
     bool head_only = false; ///< the answer has no body
-    /// An answer that bears another value under this header belongs to an earlier request and is
-    /// passed over. Empty: not checked.
+    /// An answer whose header of this name has a value other than `id` belongs to an earlier
+    /// request and is skipped. Empty: not checked.
     std::string id_header;
     std::string id;
     milliseconds connect_timeout{400};
 };
 
-/// A connection to a runner that serves one request after the other.
+/// A persistent connection to a runner. Carries one exchange at a time.
 class runner_connection final : public QObject {
 public:
     explicit runner_connection(endpoint to);
@@ -54,19 +55,20 @@
     runner_connection& operator=(const runner_connection&) = delete;
 
     void start(exchange_request request, exchange_handlers handlers);
-    /// Ends the exchange and the connection, without `on_end`.
+    /// Ends the exchange and resets the connection without calling `on_end`.
     void cancel();
-    /// Stops reading: the runner is held back through the connection.
+    /// Stops or resumes reading. While reading is stopped, TCP flow control slows the runner down.
     void pause(bool paused);
 
     [[nodiscard]] const endpoint& peer() const { return to_; }
     [[nodiscard]] bool is_busy() const { return busy_; }
-    /// False once the peer closed, sent what nobody asked for, or asked to close.
+    /// Returns false during an exchange and after the peer closed the connection, asked to close
+    /// it, or sent bytes that belong to no request.
     [[nodiscard]] bool is_reusable() const;
-    /// When it was made; has no meaning before that.
+    /// Returns when the connection was established; meaningless before that.
     [[nodiscard]] instant connected_at() const { return connected_at_; }
     [[nodiscard]] instant idle_since() const { return idle_since_; }
-    /// How long the peer said that it keeps an idle connection, if it did.
+    /// Returns the timeout that the peer announced in a Keep-Alive header, if any.
     [[nodiscard]] std::optional<seconds> keep_alive() const { return keep_alive_; }
     [[nodiscard]] bool is_fresh() const { return served_ == 0; }
 
@@ -84,7 +86,7 @@
     stream_socket socket_;
     QTimer connect_timer_;
     exchange_request request_;
-    /// Shared, so that a handler that cancels does not end under its own feet.
+    /// Shared, so that a handler that calls `cancel` is not destroyed while it runs.
     std::shared_ptr<const exchange_handlers> handlers_;
     std::unique_ptr<http_response_parser> parser_;
     std::string pending_;
--- a/src/io/runner_end_checker.cpp
+++ b/src/io/runner_end_checker.cpp
@@ -5,7 +5,8 @@
 namespace cedarpoint {
 namespace {
 
-/// A process that ends closes its sockets one after the other; its listener may be the last.
+/// Delay before the check. A process that ends closes its sockets one after the other, and the
+/// listener may be the last.
 constexpr milliseconds settling_time{20};
 
 } // namespace
--- a/src/io/runner_end_checker.h
+++ b/src/io/runner_end_checker.h
@@ -10,8 +10,8 @@
 
 namespace cedarpoint {
 
-/// Finds out whether a runner that closed a connection without an answer has ended: connections to
-/// it are refused then.
+/// Checks whether the process of a runner that closed a connection without an answer has ended.
+/// Connections to its address are refused in that case.
 class runner_end_checker {
 public:
     using result_handler = std::function<void(const runner_id&, bool refused)>;
@@ -22,7 +22,7 @@
     ~runner_end_checker() = default;
 
     void check(const runner_id& runner, const endpoint& address);
-    /// Forgets the checks that have ended.
+    /// Removes completed checks.
     void clean_up();
 
 private:
--- a/src/io/runner_pool.cpp
+++ b/src/io/runner_pool.cpp
@@ -7,10 +7,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two looks for idle connections that are too old.
+/// Interval at which connections that were idle for too long are closed.
 constexpr int sweep_ms = 1000;
 
-/// Ends after the present call: the connection may be the one that is reporting.
+/// Deletes the connection from the event loop, because it may be the one whose handler runs now.
 void dispose(std::unique_ptr<runner_connection> connection)
 {
     connection.release()->deleteLater();
--- a/src/io/runner_pool.h
+++ b/src/io/runner_pool.h
@@ -10,13 +10,13 @@
 
 namespace cedarpoint {
 
-/// How long kept connections may have rested before they are used again.
+/// How long a connection may be idle and still be reused.
 struct pool_options {
-    milliseconds longest_rest{4000};      ///< where the runner does not say
-    milliseconds keep_alive_margin{1200}; ///< less than what the runner says
+    milliseconds longest_rest{4000};      ///< upper bound for the idle time
+    milliseconds keep_alive_margin{1200}; ///< subtracted from the runner's Keep-Alive timeout
 };
 
-/// Connections to runners, kept for the next request.
+/// A pool of persistent connections to runners.
 class runner_pool {
 public:
     runner_pool();
@@ -25,12 +25,12 @@
     runner_pool(const runner_pool&) = delete;
     runner_pool& operator=(const runner_pool&) = delete;
 
-    /// A connection for one exchange: one that has rested no longer than `longest_rest`, or a new
-    /// one. It belongs to the pool; give it back when the exchange has ended.
+    /// Returns a connection for one exchange: one that was idle for less than `longest_rest`, or a
+    /// new one. The pool owns the connection; pass it to `give_back` after the exchange.
     runner_connection* take(const endpoint& to, milliseconds longest_rest);
     runner_connection* take(const endpoint& to) { return take(to, options_.longest_rest); }
     void give_back(runner_connection* connection);
-    /// Connections to one address, busy and idle.
+    /// Returns the number of connections to one address, busy and idle.
     [[nodiscard]] std::size_t count(const endpoint& to) const;
     [[nodiscard]] std::size_t count() const;
     [[nodiscard]] std::uint64_t opened() const { return opened_; }
--- a/src/io/runner_signal_log.h
+++ b/src/io/runner_signal_log.h
@@ -7,8 +7,9 @@
 
 namespace cedarpoint {
 
-/// Writes what an answer says of its runner, as far as it is new or can't be read; each pause.
-/// `request`: the id of the request that was answered; empty if it was no caller's.
+/// Logs what the headers of an answer say about its runner: rate limits and leaving if the value is
+/// new or unreadable, and every pause.
+/// `request`: the id of the answered request; empty if the request did not come from a caller.
 void log_signals(const runner_id& runner, const answer_signals& in, const signal_news& news,
                  const std::string& request);
 
--- a/src/io/simple_listeners.cpp
+++ b/src/io/simple_listeners.cpp
@@ -5,7 +5,7 @@
 namespace cedarpoint {
 namespace {
 
-/// For the balancer and whoever scrapes the metrics.
+/// Returns the limits for listeners used only by the load balancer and by metrics scrapers.
 caller_limits small_limits()
 {
     caller_limits out;
--- a/src/io/simple_listeners.h
+++ b/src/io/simple_listeners.h
@@ -8,10 +8,10 @@
 
 namespace cedarpoint {
 
-/// Answers every question with 200 or 503.
+/// Returns a listener that answers every request with 200 if ready and with 503 otherwise.
 std::unique_ptr<http_listener> make_ready_listener(std::function<bool()> is_ready);
 
-/// Serves figures as text on /metrics.
+/// Returns a listener that serves the metrics as text at /metrics.
 std::unique_ptr<http_listener> make_metrics_listener(std::function<std::string()> text);
 
 } // namespace cedarpoint
--- a/src/io/socket_state.cpp
+++ b/src/io/socket_state.cpp
@@ -10,7 +10,8 @@
 namespace cedarpoint {
 namespace {
 
-/// No caller waits longer for one answer: a higher figure is no age of a request.
+/// Longer times are ignored: no caller waits that long for an answer, so they are not the age of a
+/// request.
 constexpr duration longest_wait = std::chrono::hours{1};
 
 duration read_since_data(int descriptor)
--- a/src/io/socket_state.h
+++ b/src/io/socket_state.h
@@ -4,11 +4,11 @@
 
 namespace cedarpoint {
 
-/// What the system knows of a connection beyond the bytes that were read from it. A process that
-/// was suspended, or whose event loop was late, finds requests that have waited in their sockets.
+/// The kernel's state of a connection. A process that was suspended, or whose event loop was late,
+/// uses it to find out how long a request has waited in its socket.
 struct socket_state {
-    bool peer_has_closed = false; ///< the end of the stream, or a reset, stands behind the bytes
-    duration since_data{};        ///< since the latest bytes came; zero if the system does not tell
+    bool peer_has_closed = false; ///< end of stream or reset, with no unread bytes before it
+    duration since_data{};        ///< since the last bytes arrived; zero if not known
 };
 
 [[nodiscard]] socket_state read_socket_state(int descriptor);
--- a/src/io/sse_splitter.cpp
+++ b/src/io/sse_splitter.cpp
@@ -3,7 +3,7 @@
 namespace cedarpoint {
 namespace {
 
-/// The length of the event at the front of `text` with its empty line, or 0 if it is not whole.
+/// Returns the length of the first event in `text` with its empty line, or 0 if it is incomplete.
 std::size_t event_length(std::string_view text)
 {
     for (auto at = text.find('\n'); at != std::string_view::npos; at = text.find('\n', at + 1)) {
--- a/src/io/sse_splitter.h
+++ b/src/io/sse_splitter.h
@@ -6,22 +6,24 @@
 
 namespace cedarpoint {
 
-/// Cuts a stream of server-sent events into whole events, each with its closing empty line.
+/// Splits a stream of server-sent events into complete events, each with its final empty line.
 class sse_splitter {
 public:
-    /// Bytes of one event: bounds what a runner can make a daemon keep.
+    /// Largest size of an incomplete event in bytes. Bounds the memory that a runner can make a
+    /// daemon use.
     static constexpr std::size_t max_event = 1 << 20;
 
-    /// Calls `visit` with each event that is whole now. False once an event is too large.
+    /// Calls `visit` with each event that is now complete. Returns false if the incomplete event
+    /// exceeds `max_event`.
     bool put(std::string_view bytes, const std::function<void(std::string_view)>& visit);
-    /// True if part of an event is waiting for its end.
+    /// Returns true if the last event is incomplete.
     [[nodiscard]] bool has_rest() const { return !rest_.empty(); }
 
 private:
     std::string rest_;
 };
 
-/// True for the event that ends an OpenAI-style stream.
+/// Returns true for the event that ends an OpenAI-style stream.
 bool is_done_event(std::string_view event);
 
 } // namespace cedarpoint
--- a/src/io/stream_socket.cpp
+++ b/src/io/stream_socket.cpp
@@ -12,10 +12,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of one read.
+/// Size of a read in bytes.
 constexpr std::size_t read_block = 65536;
 
-/// Notifiers may be in the middle of reporting when they are no longer needed.
+/// Deletes the notifier from the event loop, because its signal may be running now.
 void dispose(std::unique_ptr<QSocketNotifier>& notifier)
 {
     if (notifier != nullptr) {
@@ -90,7 +90,7 @@
             continue;
         }
         if (count < 0) {
-            break; // full, or broken: reading will tell what came before the break
+            break; // buffer full, or connection broken: reads still return earlier bytes
         }
         out_.erase(0, static_cast<std::size_t>(count));
     }
--- a/src/io/stream_socket.h
+++ b/src/io/stream_socket.h
@@ -11,15 +11,15 @@
 
 namespace cedarpoint {
 
-/// How a connection ended. Qt's own socket reports a reset as an orderly end, which would make an
-/// answer without a length that was reset look whole.
+/// How a connection ended. QTcpSocket reports a reset as an orderly end, so that an answer without
+/// a length would look complete after a reset.
 enum class socket_end {
-    orderly, ///< the peer closed after all that it had to say
-    reset,   ///< the peer or the network broke the connection
-    refused  ///< it was never made: nothing listens there
+    orderly, ///< the peer closed the connection
+    reset,   ///< the peer or the network reset the connection
+    refused  ///< not established, because no process listens there
 };
 
-/// A TCP connection made from here, driven by the event loop.
+/// An outgoing TCP connection, driven by the event loop.
 class stream_socket {
 public:
     struct handlers {
@@ -35,10 +35,10 @@
 
     void connect_to(const endpoint& to);
     void write(std::string_view bytes);
-    /// Closes at once; nothing is reported.
+    /// Closes the connection without calling `on_end`.
     void close();
-    /// The same, and what was not delivered yet never will be: the network holds nothing back for
-    /// later.
+    /// Resets the connection without calling `on_end`. The kernel discards data that is not
+    /// delivered yet.
     void reset();
     void set_reading(bool reading);
 
--- a/src/io/suspension_watch.cpp
+++ b/src/io/suspension_watch.cpp
@@ -3,7 +3,8 @@
 namespace cedarpoint {
 namespace {
 
-/// The clocks are read one after the other; what lies between two readings is less than this.
+/// Smaller differences are ignored. The clocks are read one after the other, and the time between
+/// the two readings is below this value.
 constexpr duration least_suspension = milliseconds{50};
 
 } // namespace
--- a/src/io/suspension_watch.h
+++ b/src/io/suspension_watch.h
@@ -4,18 +4,19 @@
 
 namespace cedarpoint {
 
-/// Notices that the machine was suspended. Timers that were set before are late by that time, so
-/// their owners have to look at what is due.
+/// Detects that the machine was suspended. Timers set before the suspension fire late by its
+/// length, so their owners must check what is due.
 class suspension_watch {
 public:
-    /// `now` by the clock that counts suspensions, `timer_time` by the one of timers.
+    /// `now`: time of the clock that runs during suspensions. `timer_time`: time of the clock that
+    /// timers use.
     suspension_watch(instant now, instant timer_time) : apart_{now - timer_time} {}
 
-    /// The time for which the machine was suspended since the previous call; zero if it was not.
+    /// Returns how long the machine was suspended since the previous call; zero if it was not.
     [[nodiscard]] duration take(instant now, instant timer_time);
 
 private:
-    duration apart_; ///< of the two clocks
+    duration apart_; ///< difference between the two clocks
 };
 
 } // namespace cedarpoint
--- a/src/io/upstream_call.cpp
+++ b/src/io/upstream_call.cpp
@@ -5,9 +5,10 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of a runner's head; one that is larger is not valid.
+/// Largest valid head of an answer, in bytes.
 constexpr std::size_t max_answer_head = 65536;
-/// Bytes read ahead of the caller: holds a runner that sends faster.
+/// Bytes read ahead of the caller. The bound slows down runners that send faster than the caller
+/// reads.
 constexpr qint64 read_buffer = 65536;
 
 std::string serialize(const http_request& request)
@@ -133,7 +134,7 @@
     if (fresh.isEmpty()) {
         return;
     }
-    quiet_rounds_ = 0; // cheaper than to start the timer anew for each token
+    quiet_rounds_ = 0; // cheaper than restarting the timer for each token
     parser_.put({fresh.constData(), static_cast<std::size_t>(fresh.size())});
     if (parser_.is_head_done() && !head_seen_) {
         head_seen_ = true;
@@ -159,7 +160,7 @@
 void upstream_call::on_closed()
 {
     if (ended_ || paused_) {
-        return; // what is buffered is read first, on resume
+        return; // buffered bytes are read by `resume`
     }
     read();
     if (ended_ || paused_) {
--- a/src/io/upstream_call.h
+++ b/src/io/upstream_call.h
@@ -17,18 +17,18 @@
 /// How a call to a runner ended.
 enum class call_end {
     complete, ///< the whole answer arrived
-    unsent,   ///< no byte of the request reached the connection
-    cut       ///< anything else
+    unsent,   ///< the connection was not established and no byte was written
+    cut       ///< any other end
 };
 
-/// Bounds of one call.
+/// Time limits of one call.
 struct call_options {
     milliseconds connect_timeout{2000};
-    milliseconds idle_timeout{120'000}; ///< without a byte from the runner
+    milliseconds idle_timeout{120'000}; ///< between bytes from the runner
 };
 
-/// One request on one fresh connection. It is written at most once, whatever happens: there is no
-/// reuse, so no stale connection, so nothing that could be sent again. After `on_end` it is silent.
+/// One request on a new connection. The request is written at most once: connections are not
+/// reused, so a stale connection can't make a retry necessary. `on_end` is the last callback.
 class upstream_call final : public QObject {
 public:
     struct handlers {
@@ -46,10 +46,10 @@
     upstream_call& operator=(const upstream_call&) = delete;
 
     void start();
-    /// Stops reading: the runner is held back through the connection.
+    /// Stops reading, so that TCP flow control slows the runner down.
     void pause();
     void resume();
-    /// Ends the call without `on_end`.
+    /// Aborts the call without calling `on_end`.
     void cancel();
 
 private:
@@ -71,7 +71,7 @@
     bool head_seen_ = false;
     bool paused_ = false;
     bool ended_ = false;
-    int quiet_rounds_ = 0; ///< half idle timeouts since the latest byte
+    int quiet_rounds_ = 0; ///< half idle timeouts since the last byte
 };
 
 } // namespace cedarpoint
