--- a/src/daemon/caller_gateway.cpp
+++ b/src/daemon/caller_gateway.cpp
@@ -58,7 +58,7 @@
 {
     figures_.count_refusal(error.code);
     if (reply.has_begun()) {
-        // The answer has begun: an event of its own is the only honest end.
+        // The status line is sent already, so the error can only be reported as an event.
         reply.write("event: error\ndata: " + to_json(error, request) + "\n\n");
         reply.finish();
         return;
@@ -78,7 +78,7 @@
 {
     figures_.count_request();
     if (!reply->is_open()) {
-        return; // the caller had gone before the request was read
+        return; // the caller closed the connection before the request was read
     }
     const request_id id{request_prefix_ + "-" + std::to_string(++last_request_)};
     const auto path = request.target.substr(0, request.target.find('?'));
@@ -120,7 +120,7 @@
 {
     const auto* account = core_.authenticate(facts.key_digest);
     if (account == nullptr) {
-        return {}; // it is refused
+        return {}; // the request will be refused for its key
     }
     return fingerprint_of({account->id.str(), request.method, request.fields.get("Host"),
                            request.target, request.body});
@@ -262,7 +262,7 @@
 
 void caller_gateway::retire(attempt_id id)
 {
-    // The call may be the one that is calling: it goes when it has returned.
+    // Deleted from the event loop, because this may run within a callback of the call.
     auto node = attempts_.extract(id.value);
     if (!node.empty()) {
         node.mapped().call.release()->deleteLater();
--- a/src/daemon/caller_gateway.h
+++ b/src/daemon/caller_gateway.h
@@ -16,7 +16,8 @@
 
 namespace cedarpoint {
 
-/// Joins callers' connections, the dispatcher and the calls to runners. Decides nothing itself.
+/// Connects the callers' listener, the dispatcher and the calls to runners. All decisions are made
+/// by the dispatcher.
 class caller_gateway {
 public:
     struct hooks {
@@ -33,11 +34,11 @@
     caller_gateway& operator=(const caller_gateway&) = delete;
 
     bool start(const endpoint& at, reason& why);
-    /// No new connections; those open close after their answer.
+    /// Stops accepting connections. Open connections close after their current answer.
     void stop_listening();
     void perform(const actions& all);
-    /// Ends the attempts on an upstream that is known to be gone, without waiting for its
-    /// connection.
+    /// Ends all attempts on upstreams for which `is_gone` returns true, without waiting until their
+    /// connections end.
     void cut_attempts(const std::function<bool(const runner_id&)>& is_gone);
     [[nodiscard]] std::size_t connections() const { return listener_.connections(); }
     [[nodiscard]] endpoint address() const { return listener_.address(); }
@@ -54,11 +55,11 @@
         request_id request;
         runner_id upstream;
         std::unique_ptr<upstream_call> call;
-        std::unique_ptr<sse_splitter> events; ///< set while whole events are relayed
+        std::unique_ptr<sse_splitter> events; ///< set if the answer is an event stream
         http_head head;
-        std::string kept; ///< an answer that is sent only when it is whole
+        std::string kept; ///< body bytes of an answer that is sent only when complete
         bool relaying = false;
-        bool finished = false; ///< the last event has been passed on
+        bool finished = false; ///< the last event was forwarded
     };
 
     void on_request(http_request request, std::shared_ptr<http_reply> reply);
--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -1,4 +1,4 @@
-// The way of a runner's answer to the caller: whole, event by event, or as it comes.
+// Relays a runner's answer to the caller: complete, event by event, or unbuffered.
 
 #include "daemon/caller_gateway.h"
 
@@ -14,12 +14,13 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of an answer that is kept until it is whole; larger ones are passed on as they
-/// come, as docs/API.md promises.
+/// Largest answer in bytes that is buffered until it is complete. The bytes of larger answers are
+/// forwarded as they arrive; see docs/API.md.
 constexpr std::size_t max_whole_answer = 16 << 20;
 constexpr int first_server_error = 500;
 
-/// A runner's head without what is between it and cedarpoint.
+/// Returns a runner's head without hop-by-hop fields and without fields meant for cedarpoint, and
+/// with the request's id.
 http_head head_for_caller(const http_head& from, const request_id& request)
 {
     http_head out{from.status, {}};
@@ -161,14 +162,15 @@
         .with("reason", why.text)
         .write();
     if (it.relaying) {
-        // Part of a body without events is out: breaking the connection is how HTTP says "cut".
+        // Part of a plain body is sent already. Only aborting the connection can tell the caller
+        // that the body is incomplete.
         const auto request = it.request;
         const auto reply = exchanges_.at(request).reply;
         reply->on_gone = nullptr;
         reply->abort();
         exchanges_.erase(request);
         retire(id);
-        perform(core_.caller_gone(steady_now(), request)); // nothing more can be told to it
+        perform(core_.caller_gone(steady_now(), request)); // its connection is closed
         return;
     }
     retire(id);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,17 +15,17 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two ticks.
+/// Interval between two ticks.
 constexpr int tick_ms = 20;
-/// Time between two updates of the targets.
+/// Interval between two updates of the targets.
 constexpr duration view_interval = milliseconds{50};
 constexpr duration metrics_interval = seconds{1};
-/// Time between two messages on requests under which runners ended, where there is no news: by them
-/// a daemon that was away learns of it.
+/// Interval at which the requests under which runners ended are sent again to the other daemons.
+/// Daemons that missed an earlier message receive them in this way.
 constexpr duration share_interval = seconds{5};
-/// The process's exit code once its state can't be made durable: docs/OPERATIONS.md.
+/// Exit code of the process if its state can't be made durable; see docs/OPERATIONS.md.
 constexpr int disk_failed_exit = 5;
-/// Of a CURVE key in Z85, as `curve_keygen` prints it.
+/// Length of a CURVE key in Z85, as printed by `curve_keygen`.
 constexpr std::size_t key_digits = 40;
 
 std::uint64_t random_seed()
@@ -49,9 +49,11 @@
 dispatch_options dispatch_options_of(const settings& own)
 {
     dispatch_options out;
-    // The balancer spreads calls evenly, so each daemon holds an even share of each limit.
+    // The load balancer distributes requests evenly, so each daemon enforces an equal share of each
+    // limit.
     out.limit_share = own.peers.empty() ? 1.0 : 1.0 / static_cast<double>(own.peers.size());
-    // No leader divides rates here. A quarter is left for daemons whose parts come together.
+    // No leader distributes rates in this setup. A quarter of each rate is left unused, for times
+    // at which several daemons send at once.
     out.permits.used_part = 0.75;
     out.permits.daemons = std::max<std::size_t>(own.peers.size(), 1);
     out.permits.seed = hash_of(own.id.str());
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -21,16 +21,17 @@
 
 namespace cedarpoint {
 
-/// One running process: the core with its sockets, files and timers.
+/// A running daemon with a list of peers: the core with its sockets, files and timers.
 class daemon {
 public:
-    /// Empty with `why` if a listener or the data folder can't be had.
+    /// Returns null and sets `why` if a listener or the data folder can't be opened.
     static std::unique_ptr<daemon> start(settings own, reason& why);
     ~daemon();
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
 
-    /// A planned stop: refuse new work, finish what runs, then call `on_stopped`.
+    /// Starts a planned stop: refuses new requests, finishes running ones, then calls `on_stopped`.
+    /// Requests that still run after the stop bound are cut off.
     void stop();
     std::function<void(int exit_code)> on_stopped;
 
@@ -52,13 +53,13 @@
     [[nodiscard]] control_hooks make_control_hooks();
     [[nodiscard]] caller_gateway::hooks make_gateway_hooks();
     void tick();
-    /// False once the state can't be made durable any more: the process ends.
+    /// Returns false and calls `on_stopped` if the state can no longer be made durable.
     bool can_go_on();
     void look_at_runners(instant now);
     void refresh_view();
     void refresh_metrics();
     void on_runner_end_checked(const runner_id& runner, bool refused);
-    /// Tells the other daemons which requests were in flight at runners that ended.
+    /// Sends the other daemons the requests that were in flight at runners that ended.
     void share_crashes(instant now);
     void check_stop();
 
--- a/src/daemon/decision_log.h
+++ b/src/daemon/decision_log.h
@@ -9,16 +9,16 @@
 
 namespace cedarpoint {
 
-/// A decision and the wall time at which it was taken.
+/// A decision and the wall time at which it was logged.
 struct timed_decision {
     std::uint64_t wall_ms = 0;
     decision what;
 };
 
-/// Writes each decision as a log line and keeps the latest requests' ones for `explain`.
+/// Writes each decision as a log line and keeps the decisions of the latest requests for `explain`.
 class decision_log {
 public:
-    /// Requests whose decisions are kept for `explain`.
+    /// Number of requests whose decisions are kept.
     static constexpr std::size_t kept_requests = 20'000;
 
     void add(const decision& it);
--- a/src/daemon/engine_headers.h
+++ b/src/daemon/engine_headers.h
@@ -4,20 +4,20 @@
 
 namespace cedarpoint {
 
-/// Headers between a daemon and the runners' engines; docs/API.md, "Runners".
+/// Headers of requests and answers between a daemon and runners; see docs/API.md, "Runners".
 namespace engine_header {
-/// The attempt that a request belongs to: "<request>/<number>". Runners echo it.
+/// The attempt to which a request belongs, as "<request>/<number>". Runners echo the value.
 inline constexpr const char* attempt = "X-Request-Id";
-/// In a runner's answer: it did not take the request.
+/// In an answer: the runner did not execute the request.
 inline constexpr const char* not_run = "Cedarpoint-Not-Run";
-/// In a runner's answer: requests a second that it takes from all daemons together.
+/// In an answer: requests per second that the runner accepts from all daemons together.
 inline constexpr const char* rate_limit = "Cedarpoint-Rate-Limit";
-/// In a runner's answer, with the value 1: it leaves and wants nothing new.
+/// In an answer, with the value 1: the runner is leaving and should get no new requests.
 inline constexpr const char* leaving = "Cedarpoint-Leaving";
 } // namespace engine_header
 
-/// True for headers that are passed neither to runners nor from them: they are between the caller
-/// and cedarpoint.
+/// Returns true for headers that cedarpoint consumes itself and forwards neither to runners nor to
+/// callers.
 [[nodiscard]] bool is_private_header(std::string_view name);
 
 } // namespace cedarpoint
--- a/src/daemon/loop_pacer.h
+++ b/src/daemon/loop_pacer.h
@@ -5,16 +5,17 @@
 
 namespace cedarpoint {
 
-/// Lets the event loop of a busy process look for work at most once a millisecond. Each look costs
-/// time for every open connection, ready or not; a thousand streams make more than one ready in
-/// that time. When the process is not busy, nothing is delayed.
+/// Limits the event loop of a busy process to one poll per millisecond. The cost of a poll grows
+/// with the number of open connections, ready or not. With a thousand streams, several are ready
+/// after each millisecond, so one poll serves more of them. Nothing is delayed in a process that is
+/// not busy.
 class loop_pacer {
 public:
     static constexpr std::chrono::microseconds shortest_round{1000};
 
     explicit loop_pacer(std::function<bool()> is_busy) : is_busy_{std::move(is_busy)} {}
 
-    /// Starts pacing this thread's event loop.
+    /// Starts to limit the event loop of the calling thread.
     void attach();
 
 private:
@@ -24,8 +25,8 @@
     std::chrono::steady_clock::time_point last_round_;
 };
 
-/// Chooses Qt's own event loop over GLib's, which costs about twice as much with many
-/// connections. Call before the application object is made.
+/// Selects Qt's event loop instead of GLib's, which needs about twice as much processor time with
+/// many connections. Must be called before the application object is created.
 void choose_event_loop();
 
 } // namespace cedarpoint
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -18,9 +18,9 @@
 
 namespace status = http_status;
 
-/// Of a declarative file.
+/// Largest size of a declarative file in bytes.
 constexpr std::size_t max_operator_body = 32 << 20;
-/// Connections of operators and of whoever scrapes the metrics, at a time.
+/// Largest number of simultaneous connections from operators and metrics scrapers.
 constexpr std::size_t max_operator_connections = 256;
 
 caller_limits operator_limits()
@@ -94,9 +94,9 @@
 
 struct operator_api::row {
     const char* method = nullptr;
-    const char* path = nullptr; ///< a last '/' takes everything below
+    const char* path = nullptr; ///< a final '/' matches every path below
     route function = nullptr;
-    bool open = false; ///< needs no key
+    bool open = false; ///< served without the operators' key
 };
 
 operator_api::operator_api(daemon& owner)
--- a/src/daemon/operator_api.h
+++ b/src/daemon/operator_api.h
@@ -11,7 +11,8 @@
 
 class daemon;
 
-/// The operators' listener: configuration, status, drains, stop, explain, health and metrics.
+/// Serves the operators' HTTP interface: configuration, status, drains, stop, explain, health and
+/// metrics.
 class operator_api {
 public:
     explicit operator_api(daemon& owner);
--- a/src/daemon/request_reader.cpp
+++ b/src/daemon/request_reader.cpp
@@ -11,11 +11,12 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of an id in a header; longer ones are refused.
+/// Largest length of an id in a header, in bytes.
 constexpr std::size_t max_header_id = 256;
-/// A day; a longer deadline is refused.
+/// Largest deadline, one day.
 constexpr std::int64_t max_deadline_ms = 24LL * 3600 * 1000;
-constexpr std::size_t prefix_bytes = 1024; ///< of the prompt: enough to tell system prompts apart
+/// Length of the prompt prefix used for routing; enough to distinguish system prompts.
+constexpr std::size_t prefix_bytes = 1024;
 
 bool is_printable(std::string_view text)
 {
--- a/src/daemon/request_reader.h
+++ b/src/daemon/request_reader.h
@@ -7,7 +7,7 @@
 
 namespace cedarpoint {
 
-/// Headers that callers use.
+/// Headers of callers' requests and of the answers to them.
 namespace caller_header {
 inline constexpr const char* session = "Cedarpoint-Session";
 inline constexpr const char* request = "Cedarpoint-Request-Id";
@@ -17,17 +17,18 @@
 inline constexpr const char* idempotency = "Idempotency-Key";
 } // namespace caller_header
 
-/// True for the paths that a model serves.
+/// Returns true for the paths that are served by models.
 bool is_model_path(std::string_view path);
 
-/// Reads what the core needs from a request. Empty with `error` if the request is not valid.
+/// Extracts what the core needs from a request. Returns nothing and sets `error` if the request is
+/// not valid.
 std::optional<request_facts> read_facts(instant now, const http_request& request, request_id id,
                                         refusal& error);
 
-/// The digest of the key in "Authorization: Bearer KEY"; empty if there is none.
+/// Returns the digest of the key in "Authorization: Bearer KEY"; empty if there is none.
 std::optional<std::string> bearer_digest(const http_request& request);
 
-/// Lower-case hex SHA-256.
+/// Returns the SHA-256 digest in lower-case hexadecimal digits.
 std::string sha256_hex(std::string_view bytes);
 
 } // namespace cedarpoint
--- a/src/daemon/runner_client.cpp
+++ b/src/daemon/runner_client.cpp
@@ -9,9 +9,9 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of a runner's state; a longer one is not read.
+/// Number of bytes after which no more of an answer's body is read.
 constexpr std::size_t max_state = 65536;
-/// How long the connection and the whole call may take.
+/// Limits for establishing the connection and for the time between bytes of the answer.
 constexpr call_options state_call{milliseconds{800}, milliseconds{1500}};
 
 std::optional<runner_phase> parse_phase(const std::string& text)
--- a/src/daemon/runner_client.h
+++ b/src/daemon/runner_client.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// Looks at runners and gives them orders, over the engines' HTTP interface:
+/// Polls the state of runners and sends them orders over the engines' HTTP interface:
 /// GET /engine/state and POST /engine/orders.
 class runner_client {
 public:
@@ -23,7 +23,7 @@
     runner_client(const runner_client&) = delete;
     runner_client& operator=(const runner_client&) = delete;
 
-    /// Asks each runner for its state; one that has not answered yet is not asked again.
+    /// Requests the state of each runner, except of runners whose previous answer is outstanding.
     void look(const std::vector<runner_spec>& runners);
     void order(const runner_order& it);
 
@@ -40,10 +40,10 @@
 
     report_handler on_report_;
     std::map<std::string, pending> pending_;
-    std::map<std::string, std::string> unclear_; ///< what was logged of each call, to log it once
+    std::map<std::string, std::string> unclear_; ///< last failure logged for each call
 };
 
-/// Reads a state answer; empty if it is not one.
+/// Parses the body of a state answer; returns nothing if it is not valid.
 std::optional<runner_report> parse_runner_report(const std::string& text);
 
 } // namespace cedarpoint
--- a/src/daemon/status_report.h
+++ b/src/daemon/status_report.h
@@ -8,7 +8,7 @@
 
 class daemon;
 
-/// What `cedarpoint status` shows of one daemon and of what it knows.
+/// Returns the report of `cedarpoint status` on a daemon and on the state of the fleet known to it.
 nlohmann::json make_status(daemon& of, instant now);
 
 } // namespace cedarpoint
