--- a/tests/daemon/at_most_once_test.cpp
+++ b/tests/daemon/at_most_once_test.cpp
@@ -1,4 +1,5 @@
-// Promises: a request marked as not repeatable runs at most once; "not run" means not run.
+// Guarantees: a request marked as not repeatable runs at most once, and an error that says "not
+// run" means that no runner executed the request.
 
 #include "daemon/site.h"
 
@@ -11,7 +12,7 @@
 
 using namespace testing_support;
 
-/// Accepts connections, counts whole requests, and closes at a chosen moment.
+/// Accepts connections, counts complete requests, and closes the connection at a chosen moment.
 class closing_server {
 public:
     enum class when { before_reading, after_reading, in_the_head, in_the_body };
@@ -58,7 +59,7 @@
     int connections_ = 0;
 };
 
-/// The site with its shop replaced.
+/// Replaces the address of the site's shop service.
 void use_shop(site& at, const endpoint& address)
 {
     auto text = at.file(1, "other-shop", 1);
@@ -85,7 +86,7 @@
                 << method << static_cast<int>(moment) << caller.received();
             EXPECT_EQ(shop.connections(), 1) << method << static_cast<int>(moment);
             EXPECT_LE(shop.requests(), 1);
-            // The same connection of the caller goes on working.
+            // The caller's connection remains usable.
             caller.send(plain_request("GET", "/v1/models", "", ""));
             EXPECT_TRUE(caller.wait_for("\"list\""));
         }
@@ -147,7 +148,7 @@
     raw_caller first{at.callers()};
     first.send(chat_request(call));
     ASSERT_TRUE(first.wait_for("t3 "));
-    at.restart(); // without a planned stop: nobody reports the end of the claim
+    at.restart(); // not a planned stop, so the end of the claim is not reported
     raw_caller again{at.callers()};
     again.send(chat_request(call));
     ASSERT_TRUE(again.wait_for("\"ran\":\"may have run\""));
--- a/tests/daemon/bad_input_test.cpp
+++ b/tests/daemon/bad_input_test.cpp
@@ -1,4 +1,4 @@
-// Bad input gets a clear error; nothing else is disturbed.
+// Invalid input gets a clear error and does not affect other requests.
 
 #include "daemon/site.h"
 
@@ -10,7 +10,7 @@
 
 using namespace testing_support;
 
-/// What the callers' listener answers to bytes.
+/// Returns the answer of the callers' listener to raw bytes.
 std::string answer_to(site& at, const std::string& bytes)
 {
     raw_caller caller{at.callers()};
@@ -125,7 +125,7 @@
 
 TEST(operators_without_the_key, are_refused_and_change_nothing)
 {
-    site at{{.operator_key = "secret"}}; // the site's own calls carry it
+    site at{{.operator_key = "secret"}}; // sent with the calls of `site` itself
     EXPECT_EQ(at.it().control().domain().in_force().value, 1U);
     const auto status_for = [&](const std::string& line, const std::string& path) {
         raw_caller caller{at.operators()};
--- a/tests/daemon/command_line_test.cpp
+++ b/tests/daemon/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The command line as operators use it: a process of its own, its exit codes as documented.
+// Runs the command line as a separate process and checks its documented exit codes.
 
 #include "daemon/site.h"
 
@@ -18,7 +18,7 @@
 
 struct outcome {
     int code = -1;
-    std::string text; ///< both streams
+    std::string text; ///< standard output and standard error
 };
 
 outcome run(const QStringList& arguments)
--- a/tests/daemon/fleet_test.cpp
+++ b/tests/daemon/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Nine processes in three failure domains on loopback, from the shipped examples, under traffic,
-// with kill -9 and SIGSTOP: no answer lost, none doubled.
+// Runs the shipped examples as nine processes in three failure domains on the loopback interface.
+// Under traffic, with kill -9 and SIGSTOP, no answer may be lost or duplicated.
 
 #include "daemon/site.h"
 
@@ -26,7 +26,7 @@
     return json::parse(in, nullptr, true, true);
 }
 
-/// One example's daemons as processes, its engines in this process.
+/// The daemons of an example as processes. Its engines run in the test's process.
 class fleet {
 public:
     explicit fleet(const std::string& name)
@@ -100,7 +100,7 @@
         return *endpoint::parse(settings_.at(id)["callers"].get<std::string>());
     }
 
-    /// A daemon's status; null if it does not answer.
+    /// Returns a daemon's status; null if it does not answer.
     json status(const std::string& id)
     {
         raw_caller it{*endpoint::parse(settings_.at(id)["operators"].get<std::string>())};
@@ -163,8 +163,8 @@
     std::map<std::string, std::unique_ptr<QProcess>> processes_;
 };
 
-/// A caller as the users' are: it asks again elsewhere when an error says that it may, and takes
-/// part of an answer for none.
+/// Behaves like the users' callers: repeats a request at another daemon if the error permits it,
+/// and does not accept a partial answer.
 class patient_caller {
 public:
     patient_caller(fleet& at, std::string text, bool once, std::size_t first)
@@ -173,7 +173,7 @@
         ask_again();
     }
 
-    /// True once it has its final answer.
+    /// Processes received bytes. Returns true once the final answer has arrived.
     bool step()
     {
         if (done_) {
@@ -190,12 +190,12 @@
             done_ = true;
         }
         else if (says(got, "\"ran\":") || closed) {
-            ask_again(); // with its key, if it has one: the claim says whether it ran
+            ask_again(); // with its key, if any; the claim tells whether it ran
         }
         return done_;
     }
 
-    /// True while its answer is on its way.
+    /// Returns true if token 5 has arrived and the answer is not complete.
     [[nodiscard]] bool is_in_the_middle()
     {
         return !done_ && caller_->received().find("\"t5 ") != std::string::npos;
@@ -286,7 +286,7 @@
     add(60);
     ASSERT_TRUE(many_in_the_middle());
     const auto leader = at.status(ids[0])["domain_log"].value("leader", "");
-    at.kill(leader); // with its callers' streams
+    at.kill(leader); // this cuts off the streams of its callers
     ASSERT_TRUE(some_answered(10));
     add(60);
     ASSERT_TRUE(many_in_the_middle());
@@ -315,7 +315,7 @@
     EXPECT_GT(honest_ends, 0) << "the kill cut no such request off: nothing was proved";
     std::printf("%zu answers, %d not repeatable ended with an honest error\n", callers.size(),
                 honest_ends);
-    // All is mended: the killed one follows again, every group of the zone serves.
+    // The killed daemon follows the log again, and all groups of its failure domain serve.
     ASSERT_TRUE(wait_until(
         [&] { return at.status(leader).value("revision", 0) == 1 && at.serving(leader) == 4; }));
 }
--- a/tests/daemon/occupied_address_test.cpp
+++ b/tests/daemon/occupied_address_test.cpp
@@ -1,5 +1,5 @@
-// Guards against daemons that end at once because a predecessor that was killed still holds one of
-// their addresses: three control daemons that were killed together came back as one.
+// Guards against daemons that exit at the start because a killed predecessor still holds one of
+// their addresses. When three control daemons were killed together, only one came back.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -17,7 +17,7 @@
 using testing_support::fleet_processes;
 using testing_support::pass_time;
 
-constexpr int net = 228; ///< of the loopback range: tests run side by side
+constexpr int net = 228; ///< part of the loopback range, since tests run in parallel
 
 const std::string document = R"({"version":1,
     "routes":[{"name":"r","host":"h.example","pathPrefix":"/a/","kind":"safe","timeoutMs":2000,
--- a/tests/daemon/planned_stop_test.cpp
+++ b/tests/daemon/planned_stop_test.cpp
@@ -1,4 +1,5 @@
-// Promises: a planned stop cuts off nothing; a leaving upstream gets no new work after seconds.
+// Guarantees: a planned stop cuts off no request, and an upstream that is leaving gets no new
+// requests after a few seconds.
 
 #include "daemon/site.h"
 
@@ -66,7 +67,7 @@
         const auto* it = at.it().control().domain().groups().find(group_id{group});
         return it == nullptr || it->state != group_state::serving;
     }));
-    pass_time(milliseconds{500}); // the daemon's targets follow the group's state after 50 ms
+    pass_time(milliseconds{500}); // the targets follow the group's state within 50 ms
     const int before = engine.in_flight() + engine.served();
     for (int n = 0; n < 10; ++n) {
         raw_caller other{at.callers()};
@@ -88,7 +89,7 @@
         const auto* it = at.it().control().domain().groups().find(group_id{"pool/0"});
         return it == nullptr || it->state != group_state::serving;
     }));
-    // A group of the four others takes its place.
+    // A new group on the four other nodes replaces it.
     ASSERT_TRUE(wait_until([&] {
         const auto* it = at.it().control().domain().groups().find(group_id{"pool/0"});
         return it != nullptr && it->state == group_state::serving && at.first_of("pool/0") != first;
--- a/tests/daemon/site.h
+++ b/tests/daemon/site.h
@@ -14,17 +14,18 @@
 
 namespace cedarpoint::testing_support {
 
-/// Runs the event loop until `done` or until far longer than anything takes. True if done.
+/// Runs the event loop until `done` returns true or a generous time limit has passed. Returns
+/// false in the latter case.
 bool wait_until(const std::function<bool()>& done);
-/// Runs the event loop for this long.
+/// Runs the event loop for the given time.
 void pass_time(duration time);
 
-/// A caller's connection, byte by byte.
+/// A caller's connection that sends and receives raw bytes.
 class raw_caller {
 public:
     explicit raw_caller(const endpoint& to);
     void send(const std::string& bytes);
-    /// What has come so far.
+    /// Returns all bytes received so far.
     const std::string& received();
     bool wait_for(const std::string& text);
     bool wait_closed();
@@ -36,24 +37,24 @@
     std::string received_;
 };
 
-/// How a request to a model looks.
+/// The contents of a request to a model.
 struct ask {
     bool stream = true;
     int tokens = 8;
     std::string text = "why";
-    std::string headers; ///< further lines, each with its line end
+    std::string headers; ///< additional lines, each with its line end
     std::string key = "secret";
 };
 
 std::string chat_request(const ask& it);
 std::string plain_request(const std::string& method, const std::string& target,
                           const std::string& headers, const std::string& body);
-/// The token numbers in a streamed answer, in their order.
+/// Returns the token numbers in a streamed answer, in order.
 std::vector<int> tokens_in(const std::string& answer);
-/// The status of the n-th answer in `text`, 0 if there are fewer.
+/// Returns the status of the first answer in `text`; 0 if there is none.
 int status_of(const std::string& text);
 
-/// One daemon that is its own quorum, with stand-in engines and a plain service.
+/// A single daemon that forms the quorum alone, with stand-in engines and a plain service.
 class site {
 public:
     struct options {
@@ -64,7 +65,7 @@
         stand_in_runner::options engine;
         caller_limits limits;
         milliseconds stop_bound{5000};
-        std::string operator_key; ///< empty: none is needed
+        std::string operator_key; ///< empty: no key is required
     };
 
     explicit site(const options& how);
@@ -72,9 +73,9 @@
     site(const site&) = delete;
     site& operator=(const site&) = delete;
 
-    /// True once every declared group serves.
+    /// Waits until all declared groups serve; returns false if they do not in time.
     bool wait_serving();
-    /// Stops the daemon and starts it anew on the same data folder.
+    /// Stops the daemon and starts a new one on the same data folder.
     void restart();
     daemon& it() { return *daemon_; }
     bool has_daemon() const { return daemon_ != nullptr; }
@@ -82,13 +83,13 @@
     [[nodiscard]] endpoint operators() const { return daemon_->operators(); }
     stand_in_runner& engine(std::size_t n) { return *engines_[n]; }
     stand_in_runner& shop() { return *shop_; }
-    /// Ends an engine's process: its connections break, its address refuses.
+    /// Destroys an engine: its connections break and its address refuses new ones.
     void kill_engine(std::size_t n) { engines_[n].reset(); }
-    /// The engine that takes the requests of a group.
+    /// Returns the index of the engine that receives the requests of a group.
     std::size_t first_of(const std::string& group);
     [[nodiscard]] int arrivals(const std::string& body) const;
     [[nodiscard]] int exit_code() const { return exit_code_; }
-    /// The declarative file in use, with another change id and revision.
+    /// Returns the declarative file in use with the given base revision, change id and group count.
     std::string file(int based_on, const std::string& change, int groups) const;
     bool apply(const std::string& text);
     bool drain(const std::string& kind, const std::string& id, bool draining);
--- a/tests/daemon/whole_answer_test.cpp
+++ b/tests/daemon/whole_answer_test.cpp
@@ -1,4 +1,4 @@
-// Promise: every caller receives the whole answer to its own request and no one else's.
+// Guarantee: every caller receives the complete answer to its own request and to no other.
 
 #include "daemon/site.h"
 
@@ -37,7 +37,7 @@
     site at{{}};
     ASSERT_TRUE(at.wait_serving());
     raw_caller caller{at.callers()};
-    // A slow stream, a quick service call behind it, another stream: all in one write.
+    // One write with a slow stream, a quick service call and another stream.
     caller.send(chat_request({.tokens = 20}) + plain_request("GET", "/shop/stock", "", "") +
                 chat_request({.tokens = 3}) +
                 plain_request("GET", "/v1/models", "Connection: close\r\n", ""));
@@ -59,7 +59,7 @@
 
 TEST(whole_answer, goes_to_each_of_many_callers_at_once)
 {
-    // The library's own client would open six connections to one runner; all of these must move.
+    // Qt's HTTP client would open only six connections to a runner; all of these must progress.
     constexpr int callers = 200;
     site at{{.slots = callers}};
     ASSERT_TRUE(at.wait_serving());
@@ -121,7 +121,7 @@
 
 TEST(whole_answer, of_another_request_is_not_passed_on)
 {
-    // An upstream that answers with another request's id has mixed its answers up.
+    // An answer with another request's id shows that the upstream mixed up its answers.
     http_listener mixed{caller_limits{},
                         [](const http_request& request, const std::shared_ptr<http_reply>& reply) {
                             http_head head{200, {}};
@@ -163,7 +163,7 @@
     quick.send(chat_request({.tokens = 50}));
     ASSERT_TRUE(quick.wait_for("[DONE]"));
     auto& engine = at.engine(at.first_of("pool/0"));
-    EXPECT_EQ(engine.in_flight(), 1); // the slow one's: it can't have been taken whole
+    EXPECT_EQ(engine.in_flight(), 1); // the slow caller's, which can't be complete yet
     slow.socket().setReadBufferSize(0);
     ASSERT_TRUE(slow.wait_for("[DONE]"));
     EXPECT_EQ(tokens_in(slow.received()), count_to(tokens));
--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -34,7 +34,7 @@
     return {"127.0.0.1", it.serverPort()};
 }
 
-/// Two daemons' settings that name each other.
+/// Returns the settings of a daemon with the given peers.
 settings settings_of(const std::string& id, const std::vector<peer_spec>& peers,
                      const key_pair& keys)
 {
@@ -59,7 +59,7 @@
     return out;
 }
 
-/// What two daemons with these keys get of each other's messages.
+/// Two daemons with the given keys, which count the messages that they receive from each other.
 class pair_of_daemons {
 public:
     pair_of_daemons(const key_pair& first, const key_pair& second)
@@ -114,7 +114,7 @@
         pair_of_daemons proper{keys, keys};
         pair_of_daemons it{keys, strangers};
         int rounds = 0;
-        // As many rounds as the proper pair needs to hear each other thirty times over.
+        // As many rounds as the pair with valid keys needs for thirty messages in each direction.
         EXPECT_TRUE(wait_until([&] {
             proper.talk();
             it.talk();
@@ -179,7 +179,7 @@
         taken.reset(silent->nextPendingConnection());
         return taken != nullptr;
     }));
-    silent->close(); // what it took stays open, as at a machine that stands still
+    silent->close(); // the accepted connection stays open, as in a stopped process
     bool heard = false;
     mesh receiver{[&](const wire::envelope&) { heard = true; }};
     ASSERT_TRUE(receiver.start_open(at, why)) << why.str();
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -1,4 +1,4 @@
-// Kept connections to runners that answer late, too much, or not at all.
+// Persistent connections to runners that answer late, with excess bytes, or not at all.
 
 #include "daemon/site.h"
 #include "io/log_sink.h"
@@ -19,7 +19,7 @@
 
 using testing_support::wait_until;
 
-/// Answers each request with the next of its texts, as they stand.
+/// Answers each request with the next of the given texts, unchanged.
 class scripted_runner {
 public:
     explicit scripted_runner(std::vector<std::string> answers) : answers_{std::move(answers)}
@@ -62,7 +62,7 @@
     QTcpServer server_;
 };
 
-/// One exchange and what became of it.
+/// The recorded callbacks of one exchange.
 struct outcome {
     std::optional<exchange_end> end;
     int status = 0;
