--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -18,9 +18,9 @@
 
 namespace status = http_status;
 
-/// Of a declarative file.
+/// Largest size of a declarative file in bytes.
 constexpr std::size_t max_operator_body = 32 << 20;
-/// Connections of operators and of whoever scrapes the metrics, at a time.
+/// Largest number of simultaneous connections from operators and metrics scrapers.
 constexpr std::size_t max_operator_connections = 256;
 
 caller_limits operator_limits()
@@ -92,11 +92,11 @@
 
 } // namespace
 
-struct operator_api::row {
+struct operator_api::route_entry {
     const char* method = nullptr;
-    const char* path = nullptr; ///< a last '/' takes everything below
+    const char* path = nullptr; ///< a final '/' matches every path below
     route function = nullptr;
-    bool open = false; ///< needs no key
+    bool open = false; ///< served without the operators' key
 };
 
 operator_api::operator_api(daemon& owner)
@@ -115,16 +115,16 @@
 void operator_api::on_request(const http_request& request, const reply_ptr& reply)
 {
     static constexpr std::array table{
-        row{"GET", "/metrics", &operator_api::get_metrics, true},
-        row{"GET", "/healthz", &operator_api::get_health, true},
-        row{"GET", "/readyz", &operator_api::get_readiness, true},
-        row{"GET", "/v1/status", &operator_api::get_status},
-        row{"GET", "/v1/configuration", &operator_api::get_configuration},
-        row{"GET", "/v1/explain/", &operator_api::get_explanation},
-        row{"POST", "/v1/configuration", &operator_api::post_configuration},
-        row{"POST", "/v1/plan", &operator_api::post_plan},
-        row{"POST", "/v1/drain", &operator_api::post_drain},
-        row{"POST", "/v1/stop", &operator_api::post_stop},
+        route_entry{"GET", "/metrics", &operator_api::get_metrics, true},
+        route_entry{"GET", "/healthz", &operator_api::get_health, true},
+        route_entry{"GET", "/readyz", &operator_api::get_readiness, true},
+        route_entry{"GET", "/v1/status", &operator_api::get_status},
+        route_entry{"GET", "/v1/configuration", &operator_api::get_configuration},
+        route_entry{"GET", "/v1/explain/", &operator_api::get_explanation},
+        route_entry{"POST", "/v1/configuration", &operator_api::post_configuration},
+        route_entry{"POST", "/v1/plan", &operator_api::post_plan},
+        route_entry{"POST", "/v1/drain", &operator_api::post_drain},
+        route_entry{"POST", "/v1/stop", &operator_api::post_stop},
     };
     const auto path = request.target.substr(0, request.target.find('?'));
     bool path_known = false;
