--- a/src/io/http_connection.cpp
+++ b/src/io/http_connection.cpp
@@ -32,7 +32,7 @@
         if (phase_ != phase::answering || reply_ == nullptr) {
             return;
         }
-        quiet_rounds_ = 0;
+        expired_half_timeouts_ = 0;
         const auto kept = reply_;
         if (kept->on_drained) {
             kept->on_drained();
@@ -85,7 +85,7 @@
         }
     }
     if (parser_.is_done()) {
-        return hand_on();
+        return pass_to_handler();
     }
     if (!parser_.is_head_done() && pending_.size() > limits_.max_head_bytes) {
         return refuse(error_code::head_too_large, "the request's head is too large");
@@ -99,7 +99,7 @@
     }
 }
 
-void http_connection::hand_on()
+void http_connection::pass_to_handler()
 {
     keep_alive_ = parser_.keeps_alive();
     version_11_ = parser_.is_version_11();
@@ -158,7 +158,7 @@
     const auto framed = chunked_ ? fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes) : bytes;
     socket_.write(framed.data(), static_cast<qint64>(framed.size()));
     if (!timer_.isActive()) {
-        quiet_rounds_ = 0;
+        expired_half_timeouts_ = 0;
         timer_.start(stall_timeout_ms / 2);
     }
 }
@@ -234,7 +234,7 @@
     if (phase_ == phase::answering && socket_.bytesToWrite() == 0) {
         return; // the caller has taken everything; the runner is still producing the answer
     }
-    if (phase_ == phase::answering && ++quiet_rounds_ < 2) {
+    if (phase_ == phase::answering && ++expired_half_timeouts_ < 2) {
         timer_.start();
         return;
     }
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -36,7 +36,7 @@
 
     void on_readable();
     void read_request();
-    void hand_on();
+    void pass_to_handler();
     void refuse(error_code code, const char* text);
     void on_timeout();
     void on_disconnected();
@@ -58,7 +58,7 @@
     bool continued_ = false;
     bool closing_ = false;
     bool chunked_ = false;
-    int quiet_rounds_ = 0; ///< half stall timeouts without bytes taken by the caller
+    int expired_half_timeouts_ = 0; ///< half stall timeouts without bytes taken by the caller
 };
 
 } // namespace cedarpoint
--- a/src/io/log_sink.cpp
+++ b/src/io/log_sink.cpp
@@ -23,18 +23,19 @@
 
 void log_sink::write(std::string_view line)
 {
-    if (kept_.size() + line.size() > most_kept) {
+    if (buffer_.size() + line.size() > max_buffer_bytes) {
         write_some();
     }
-    if (kept_.size() + line.size() > most_kept) {
+    if (buffer_.size() + line.size() > max_buffer_bytes) {
         ++dropped_;
         return;
     }
-    if (told_ != dropped_) {
-        kept_ += "event=log_lines_dropped count=" + std::to_string(dropped_ - told_) + "\n";
-        told_ = dropped_;
+    if (reported_dropped_ != dropped_) {
+        buffer_ +=
+            "event=log_lines_dropped count=" + std::to_string(dropped_ - reported_dropped_) + "\n";
+        reported_dropped_ = dropped_;
     }
-    kept_.append(line);
+    buffer_.append(line);
     write_some();
 }
 
@@ -45,12 +46,12 @@
 
 void log_sink::write_some()
 {
-    while (!kept_.empty()) {
-        const auto count = ::write(descriptor_, kept_.data(), kept_.size());
+    while (!buffer_.empty()) {
+        const auto count = ::write(descriptor_, buffer_.data(), buffer_.size());
         if (count <= 0) {
             return;
         }
-        kept_.erase(0, static_cast<std::size_t>(count));
+        buffer_.erase(0, static_cast<std::size_t>(count));
     }
 }
 
--- a/src/io/log_sink.h
+++ b/src/io/log_sink.h
@@ -12,7 +12,7 @@
 class log_sink {
 public:
     /// Capacity of the buffer in bytes.
-    static constexpr std::size_t most_kept = 256 << 10;
+    static constexpr std::size_t max_buffer_bytes = 256 << 10;
 
     explicit log_sink(int descriptor);
     void write(std::string_view line);
@@ -24,9 +24,9 @@
     void write_some();
 
     int descriptor_;
-    std::string kept_;
+    std::string buffer_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t told_ = 0;
+    std::uint64_t reported_dropped_ = 0;
 };
 
 /// Limits the rate of log lines of one kind with a token bucket and counts the lines left out.
--- a/src/io/mesh.cpp
+++ b/src/io/mesh.cpp
@@ -48,10 +48,10 @@
 mesh::~mesh()
 {
     notifier_.reset();
-    gate_notifier_.reset();
+    zap_notifier_.reset();
     peers_.clear();
     inbox_.reset();
-    gate_.reset();
+    zap_socket_.reset();
 }
 
 void mesh::secure(zmq::socket_t& socket, bool server) const
@@ -76,11 +76,11 @@
     secret_key_ = secret_key;
     try {
         if (!secret_key_.empty()) {
-            gate_ = std::make_unique<zmq::socket_t>(context_, zmq::socket_type::router);
-            gate_->bind(zap_address);
-            gate_notifier_ = std::make_unique<QSocketNotifier>(gate_->get(zmq::sockopt::fd),
-                                                               QSocketNotifier::Read);
-            QObject::connect(gate_notifier_.get(), &QSocketNotifier::activated,
+            zap_socket_ = std::make_unique<zmq::socket_t>(context_, zmq::socket_type::router);
+            zap_socket_->bind(zap_address);
+            zap_notifier_ = std::make_unique<QSocketNotifier>(zap_socket_->get(zmq::sockopt::fd),
+                                                              QSocketNotifier::Read);
+            QObject::connect(zap_notifier_.get(), &QSocketNotifier::activated,
                              [this] { answer_handshakes(); });
         }
         open_inbox(*own.daemons);
@@ -100,7 +100,7 @@
 
 bool mesh::start_open(const endpoint& at, reason& why)
 {
-    open_ = true;
+    accepts_unknown_peers_ = true;
     try {
         open_inbox(at);
     }
@@ -138,7 +138,7 @@
     out.set(zmq::sockopt::heartbeat_timeout, heartbeat_timeout_ms);
     secure(out, false);
     out.connect(tcp(at));
-    known_[peer] = at.str();
+    peer_addresses_[peer] = at.str();
     peers_.emplace(peer, std::move(out));
 }
 
@@ -160,7 +160,7 @@
 void mesh::remove_peer(const daemon_id& peer)
 {
     peers_.erase(peer);
-    known_.erase(peer);
+    peer_addresses_.erase(peer);
 }
 
 bool mesh::send(const daemon_id& to, const wire::envelope& envelope)
@@ -200,7 +200,7 @@
         }
         wire::envelope in;
         const bool read = in.ParseFromArray(body.data(), static_cast<int>(body.size()));
-        if (read && (open_ || known_.contains(daemon_id{in.from()}))) {
+        if (read && (accepts_unknown_peers_ || peer_addresses_.contains(daemon_id{in.from()}))) {
             bytes_in_ += body.size();
             handler_(in);
         }
@@ -210,7 +210,7 @@
 
 void mesh::answer_handshakes()
 {
-    if (gate_ == nullptr) {
+    if (zap_socket_ == nullptr) {
         return;
     }
     // ZAP 1.0 over a router: identity, empty, version, request id, domain, address, peer identity,
@@ -221,7 +221,7 @@
         std::vector<zmq::message_t> parts;
         do {
             zmq::message_t part;
-            if (!gate_->recv(part, zmq::recv_flags::dontwait)) {
+            if (!zap_socket_->recv(part, zmq::recv_flags::dontwait)) {
                 return;
             }
             parts.push_back(std::move(part));
@@ -234,14 +234,14 @@
             continue;
         }
         const std::string status = fine ? "200" : "400";
-        gate_->send(parts[0], zmq::send_flags::sndmore);
-        gate_->send(zmq::message_t{}, zmq::send_flags::sndmore);
-        gate_->send(zmq::str_buffer("1.0"), zmq::send_flags::sndmore);
-        gate_->send(parts[3], zmq::send_flags::sndmore);
-        gate_->send(zmq::buffer(status), zmq::send_flags::sndmore);
-        gate_->send(zmq::message_t{}, zmq::send_flags::sndmore);
-        gate_->send(zmq::message_t{}, zmq::send_flags::sndmore);
-        gate_->send(zmq::message_t{}, zmq::send_flags::none);
+        zap_socket_->send(parts[0], zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::message_t{}, zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::str_buffer("1.0"), zmq::send_flags::sndmore);
+        zap_socket_->send(parts[3], zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::buffer(status), zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::message_t{}, zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::message_t{}, zmq::send_flags::sndmore);
+        zap_socket_->send(zmq::message_t{}, zmq::send_flags::none);
     }
 }
 
--- a/src/io/mesh.h
+++ b/src/io/mesh.h
@@ -52,18 +52,18 @@
 
     handler handler_;
     zmq::context_t context_{1};
-    std::unique_ptr<zmq::socket_t> gate_; ///< authenticates connections (ZAP); only with keys
+    std::unique_ptr<zmq::socket_t> zap_socket_; ///< authenticates connections (ZAP); only with keys
     std::unique_ptr<zmq::socket_t> inbox_;
     std::map<daemon_id, zmq::socket_t> peers_;
-    std::map<daemon_id, std::string> known_; ///< addresses of peers; other senders are rejected
+    std::map<daemon_id, std::string> peer_addresses_; ///< other senders are rejected
     std::unique_ptr<QSocketNotifier> notifier_;
-    std::unique_ptr<QSocketNotifier> gate_notifier_;
+    std::unique_ptr<QSocketNotifier> zap_notifier_;
     std::string public_key_;
     std::string secret_key_;
     std::uint64_t bytes_out_ = 0;
     std::uint64_t bytes_in_ = 0;
     bool draining_ = false;
-    bool open_ = false; ///< messages from unknown senders are accepted
+    bool accepts_unknown_peers_ = false; ///< messages from unknown senders are accepted
 };
 
 } // namespace cedarpoint
--- a/src/io/runner_connection.cpp
+++ b/src/io/runner_connection.cpp
@@ -47,7 +47,7 @@
 
 bool runner_connection::is_reusable() const
 {
-    return !spoiled_ && !busy_ && socket_.is_connected() && socket_.unwritten() == 0;
+    return !unusable_ && !busy_ && socket_.is_connected() && socket_.unwritten() == 0;
 }
 
 void runner_connection::start(exchange_request request, exchange_handlers handlers)
@@ -88,7 +88,7 @@
 void runner_connection::cancel()
 {
     busy_ = false;
-    spoiled_ = true;
+    unusable_ = true;
     handlers_.reset();
     connect_timer_.stop();
     socket_.reset();
@@ -102,7 +102,7 @@
 void runner_connection::read(std::string_view fresh)
 {
     if (!busy_) {
-        spoiled_ = true; // the bytes belong to no request
+        unusable_ = true; // the bytes belong to no request
         socket_.close();
         return;
     }
@@ -130,7 +130,7 @@
         return;
     }
     if (parser_->fault() != http_fault::none) {
-        spoiled_ = true;
+        unusable_ = true;
         end(exchange_end::cut, "parse", "not a valid HTTP answer");
         return;
     }
@@ -145,7 +145,7 @@
     }
     // Not reusable if bytes follow the answer, which belong to no request, or if the body of this
     // request is not written completely, since the next request would follow it.
-    spoiled_ = spoiled_ || !pending_.empty() || socket_.unwritten() > 0;
+    unusable_ = unusable_ || !pending_.empty() || socket_.unwritten() > 0;
     end(exchange_end::complete, "", "");
 }
 
@@ -160,7 +160,7 @@
     head_seen_ = true;
     const auto head = parser_->head();
     if (equal_ignoring_case(head.fields.get("Connection"), "close")) {
-        spoiled_ = true;
+        unusable_ = true;
     }
     if (head.fields.has("Keep-Alive")) {
         keep_alive_ = read_keep_alive(head.fields.get("Keep-Alive"));
@@ -174,7 +174,7 @@
 
 void runner_connection::on_closed(socket_end how)
 {
-    spoiled_ = true;
+    unusable_ = true;
     if (!busy_) {
         return;
     }
@@ -205,7 +205,7 @@
     idle_since_ = steady_now();
     connect_timer_.stop();
     if (how != exchange_end::complete) {
-        spoiled_ = true;
+        unusable_ = true;
         socket_.close();
     }
     const auto handlers = std::exchange(handlers_, {});
--- a/src/io/runner_connection.h
+++ b/src/io/runner_connection.h
@@ -95,7 +95,7 @@
     instant idle_since_;
     std::size_t served_ = 0;
     bool busy_ = false;
-    bool spoiled_ = false;
+    bool unusable_ = false;
     bool head_seen_ = false;
     bool foreign_ = false; ///< the answer being read belongs to another request
 };
--- a/src/io/runner_end_checker.cpp
+++ b/src/io/runner_end_checker.cpp
@@ -7,7 +7,7 @@
 
 /// Delay before the check. A process that ends closes its sockets one after the other, and the
 /// listener may be the last.
-constexpr milliseconds settling_time{20};
+constexpr milliseconds listener_close_delay{20};
 
 } // namespace
 
@@ -18,7 +18,7 @@
     };
     auto& probe = probes_[runner];
     probe = std::make_unique<connect_probe>(address, on_end);
-    probe->start(settling_time);
+    probe->start(listener_close_delay);
 }
 
 void runner_end_checker::clean_up()
--- a/src/io/runner_pool.cpp
+++ b/src/io/runner_pool.cpp
@@ -29,26 +29,26 @@
 runner_pool::~runner_pool() = default;
 
 bool runner_pool::is_usable(const runner_connection& connection, instant now,
-                            milliseconds longest_rest) const
+                            milliseconds max_idle) const
 {
     if (!connection.is_reusable()) {
         return false;
     }
-    auto limit = longest_rest;
+    auto limit = max_idle;
     if (const auto said = connection.keep_alive()) {
         limit = std::min<milliseconds>(limit, milliseconds{*said} - options_.keep_alive_margin);
     }
     return now - connection.idle_since() < limit;
 }
 
-runner_connection* runner_pool::take(const endpoint& to, milliseconds longest_rest)
+runner_connection* runner_pool::take(const endpoint& to, milliseconds max_idle)
 {
     const auto now = steady_now();
-    auto& at = places_[to];
+    auto& at = connections_[to];
     while (!at.idle.empty()) {
         auto connection = std::move(at.idle.back());
         at.idle.pop_back();
-        if (is_usable(*connection, now, longest_rest)) {
+        if (is_usable(*connection, now, max_idle)) {
             auto* out = connection.get();
             at.busy.emplace(out, std::move(connection));
             return out;
@@ -64,7 +64,7 @@
 
 void runner_pool::give_back(runner_connection* connection)
 {
-    auto& at = places_[connection->peer()];
+    auto& at = connections_[connection->peer()];
     const auto found = at.busy.find(connection);
     if (found == at.busy.end()) {
         return;
@@ -81,14 +81,14 @@
 
 std::size_t runner_pool::count(const endpoint& to) const
 {
-    const auto found = places_.find(to);
-    return found == places_.end() ? 0 : found->second.idle.size() + found->second.busy.size();
+    const auto found = connections_.find(to);
+    return found == connections_.end() ? 0 : found->second.idle.size() + found->second.busy.size();
 }
 
 std::size_t runner_pool::count() const
 {
     std::size_t out = 0;
-    for (const auto& [to, at] : places_) {
+    for (const auto& [to, at] : connections_) {
         out += at.idle.size() + at.busy.size();
     }
     return out;
@@ -97,10 +97,10 @@
 void runner_pool::sweep()
 {
     const auto now = steady_now();
-    for (auto& [to, at] : places_) {
+    for (auto& [to, at] : connections_) {
         std::vector<std::unique_ptr<runner_connection>> kept;
         for (auto& connection : at.idle) {
-            if (is_usable(*connection, now, options_.longest_rest)) {
+            if (is_usable(*connection, now, options_.max_idle)) {
                 kept.push_back(std::move(connection));
             }
             else {
@@ -109,7 +109,7 @@
         }
         at.idle = std::move(kept);
     }
-    std::erase_if(places_, [](const auto& each) {
+    std::erase_if(connections_, [](const auto& each) {
         return each.second.idle.empty() && each.second.busy.empty();
     });
 }
--- a/src/io/runner_pool.h
+++ b/src/io/runner_pool.h
@@ -12,7 +12,7 @@
 
 /// How long a connection may be idle and still be reused.
 struct pool_options {
-    milliseconds longest_rest{4000};      ///< upper bound for the idle time
+    milliseconds max_idle{4000};          ///< upper bound for the idle time
     milliseconds keep_alive_margin{1200}; ///< subtracted from the runner's Keep-Alive timeout
 };
 
@@ -25,10 +25,10 @@
     runner_pool(const runner_pool&) = delete;
     runner_pool& operator=(const runner_pool&) = delete;
 
-    /// Returns a connection for one exchange: one that was idle for less than `longest_rest`, or a
+    /// Returns a connection for one exchange: one that was idle for less than `max_idle`, or a
     /// new one. The pool owns the connection; pass it to `give_back` after the exchange.
-    runner_connection* take(const endpoint& to, milliseconds longest_rest);
-    runner_connection* take(const endpoint& to) { return take(to, options_.longest_rest); }
+    runner_connection* take(const endpoint& to, milliseconds max_idle);
+    runner_connection* take(const endpoint& to) { return take(to, options_.max_idle); }
     void give_back(runner_connection* connection);
     /// Returns the number of connections to one address, busy and idle.
     [[nodiscard]] std::size_t count(const endpoint& to) const;
@@ -36,16 +36,16 @@
     [[nodiscard]] std::uint64_t opened() const { return opened_; }
 
 private:
-    struct place {
+    struct endpoint_connections {
         std::vector<std::unique_ptr<runner_connection>> idle;
         std::map<runner_connection*, std::unique_ptr<runner_connection>> busy;
     };
     [[nodiscard]] bool is_usable(const runner_connection& connection, instant now,
-                                 milliseconds longest_rest) const;
+                                 milliseconds max_idle) const;
     void sweep();
 
     pool_options options_;
-    std::map<endpoint, place> places_;
+    std::map<endpoint, endpoint_connections> connections_;
     QTimer sweeper_;
     std::uint64_t opened_ = 0;
 };
--- a/src/io/socket_state.cpp
+++ b/src/io/socket_state.cpp
@@ -18,10 +18,10 @@
 {
     tcp_info info{};
     socklen_t size = sizeof info;
-    const bool is_told =
+    const bool is_available =
         ::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 &&
         size >= offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
-    const duration out = milliseconds{is_told ? info.tcpi_last_data_recv : 0};
+    const duration out = milliseconds{is_available ? info.tcpi_last_data_recv : 0};
     return out <= longest_wait ? out : duration{};
 }
 
--- a/src/io/suspension_watch.cpp
+++ b/src/io/suspension_watch.cpp
@@ -5,19 +5,19 @@
 
 /// Smaller differences are ignored. The clocks are read one after the other, and the time between
 /// the two readings is below this value.
-constexpr duration least_suspension = milliseconds{50};
+constexpr duration min_suspension = milliseconds{50};
 
 } // namespace
 
 duration suspension_watch::take(instant now, instant timer_time)
 {
-    const auto apart = now - timer_time;
-    const auto grown = apart - apart_;
-    if (grown < least_suspension) {
+    const auto offset = now - timer_time;
+    const auto suspended = offset - clock_offset_;
+    if (suspended < min_suspension) {
         return {};
     }
-    apart_ = apart;
-    return grown;
+    clock_offset_ = offset;
+    return suspended;
 }
 
 } // namespace cedarpoint
--- a/src/io/suspension_watch.h
+++ b/src/io/suspension_watch.h
@@ -10,13 +10,13 @@
 public:
     /// `now`: time of the clock that runs during suspensions. `timer_time`: time of the clock that
     /// timers use.
-    suspension_watch(instant now, instant timer_time) : apart_{now - timer_time} {}
+    suspension_watch(instant now, instant timer_time) : clock_offset_{now - timer_time} {}
 
     /// Returns how long the machine was suspended since the previous call; zero if it was not.
     [[nodiscard]] duration take(instant now, instant timer_time);
 
 private:
-    duration apart_; ///< difference between the two clocks
+    duration clock_offset_; ///< difference between the two clocks
 };
 
 } // namespace cedarpoint
--- a/src/io/upstream_call.cpp
+++ b/src/io/upstream_call.cpp
@@ -77,7 +77,7 @@
 
 void upstream_call::start_idle_timer()
 {
-    quiet_rounds_ = 0;
+    expired_half_timeouts_ = 0;
     timer_.start(static_cast<int>(options_.idle_timeout.count() / 2));
 }
 
@@ -86,7 +86,7 @@
     if (!sending_) {
         end(call_end::unsent, "connect", "timed out");
     }
-    else if (++quiet_rounds_ < 2) {
+    else if (++expired_half_timeouts_ < 2) {
         timer_.start();
     }
     else {
@@ -134,7 +134,7 @@
     if (fresh.isEmpty()) {
         return;
     }
-    quiet_rounds_ = 0; // cheaper than restarting the timer for each token
+    expired_half_timeouts_ = 0; // cheaper than restarting the timer for each token
     parser_.put({fresh.constData(), static_cast<std::size_t>(fresh.size())});
     if (parser_.is_head_done() && !head_seen_) {
         head_seen_ = true;
--- a/src/io/upstream_call.h
+++ b/src/io/upstream_call.h
@@ -71,7 +71,7 @@
     bool head_seen_ = false;
     bool paused_ = false;
     bool ended_ = false;
-    int quiet_rounds_ = 0; ///< half idle timeouts since the last byte
+    int expired_half_timeouts_ = 0; ///< half idle timeouts since the last byte
 };
 
 } // namespace cedarpoint
