--- a/src/daemon/caller_gateway.h
+++ b/src/daemon/caller_gateway.h
@@ -78,7 +78,7 @@
     void relay_events(attempt_id id, attempt& it, exchange& to, const std::string& bytes);
     void relay_plain(attempt_id id, attempt& it, exchange& to, std::string bytes);
     void begin_answer(attempt_id id, const attempt& it, exchange& to);
-    void hold_back(attempt& it, const exchange& to);
+    void apply_backpressure(attempt& it, const exchange& to);
     void finish(attempt_id id, attempt& it);
     void retire(attempt_id id);
     [[nodiscard]] http_request make_upstream_request(const start_attempt& it,
--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -115,7 +115,7 @@
     if (!whole.empty()) {
         begin_answer(id, it, to);
         to.reply->write(whole);
-        hold_back(it, to);
+        apply_backpressure(it, to);
     }
     if (!fine) {
         it.call->cancel();
@@ -135,10 +135,10 @@
         begin_answer(id, it, to);
     }
     to.reply->write(bytes);
-    hold_back(it, to);
+    apply_backpressure(it, to);
 }
 
-void caller_gateway::hold_back(attempt& it, const exchange& to)
+void caller_gateway::apply_backpressure(attempt& it, const exchange& to)
 {
     if (to.reply->buffered() > own_.limits.max_buffered_bytes) {
         it.call->pause();
@@ -148,8 +148,8 @@
 void caller_gateway::on_end(attempt_id id, call_end how, const reason& why)
 {
     auto& it = attempts_.at(id.value);
-    const bool torn = it.events != nullptr && it.events->has_rest() && !it.finished;
-    const bool whole = (how == call_end::complete && !torn) || it.finished;
+    const bool ends_within_event = it.events != nullptr && it.events->has_rest() && !it.finished;
+    const bool whole = (how == call_end::complete && !ends_within_event) || it.finished;
     if (whole) {
         finish(id, it);
         return;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -22,7 +22,7 @@
 constexpr duration metrics_interval = seconds{1};
 /// Interval at which the requests under which runners ended are sent again to the other daemons.
 /// Daemons that missed an earlier message receive them in this way.
-constexpr duration share_interval = seconds{5};
+constexpr duration publish_interval = seconds{5};
 /// Exit code of the process if its state can't be made durable; see docs/OPERATIONS.md.
 constexpr int disk_failed_exit = 5;
 /// Length of a CURVE key in Z85, as printed by `curve_keygen`.
@@ -192,18 +192,18 @@
         mesh_->drain();
     }
     disk_.note(control_->refused_write());
-    if (!can_go_on()) {
+    if (!check_durability()) {
         return;
     }
-    look_at_runners(now);
+    poll_runners(now);
     if (now >= next_view_) {
         next_view_ = now + view_interval;
         refresh_view();
     }
     gateway_->perform(dispatcher_.tick(now));
     runner_ends_.clean_up();
-    if (now >= next_share_) {
-        share_crashes(now);
+    if (now >= next_publish_) {
+        publish_crashes(now);
     }
     if (now >= next_metrics_) {
         next_metrics_ = now + metrics_interval;
@@ -212,15 +212,15 @@
     check_stop();
 }
 
-void daemon::look_at_runners(instant now)
+void daemon::poll_runners(instant now)
 {
-    if (now >= next_watch_) {
-        next_watch_ = now + own_.watch_interval;
-        runners_->look(control_->watched(now));
+    if (now >= next_poll_) {
+        next_poll_ = now + own_.watch_interval;
+        runners_->poll_states(control_->watched(now));
     }
 }
 
-bool daemon::can_go_on()
+bool daemon::check_durability()
 {
     const auto failure = control_->failure();
     if (!failure) {
@@ -247,12 +247,12 @@
         return;
     }
     log_runner_end(runner, seen);
-    share_crashes(now);
+    publish_crashes(now);
 }
 
-void daemon::share_crashes(instant now)
+void daemon::publish_crashes(instant now)
 {
-    next_share_ = now + share_interval;
+    next_publish_ = now + publish_interval;
     wire::envelope out;
     auto known = dispatcher_.known_crashes();
     for (auto& [request, history] : known) {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -54,13 +54,13 @@
     [[nodiscard]] caller_gateway::hooks make_gateway_hooks();
     void tick();
     /// Returns false and calls `on_stopped` if the state can no longer be made durable.
-    bool can_go_on();
-    void look_at_runners(instant now);
+    bool check_durability();
+    void poll_runners(instant now);
     void refresh_view();
     void refresh_metrics();
     void on_runner_end_checked(const runner_id& runner, bool refused);
     /// Sends the other daemons the requests that were in flight at runners that ended.
-    void share_crashes(instant now);
+    void publish_crashes(instant now);
     void check_stop();
 
     settings own_;
@@ -77,9 +77,9 @@
     std::unique_ptr<operator_api> operators_;
     QTimer timer_;
     instant next_view_;
-    instant next_watch_;
+    instant next_poll_;
     instant next_metrics_;
-    instant next_share_;
+    instant next_publish_;
     instant stop_by_;
     revision view_revision_;
     bool stopping_ = false;
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -92,7 +92,7 @@
 
 } // namespace
 
-struct operator_api::row {
+struct operator_api::route_entry {
     const char* method = nullptr;
     const char* path = nullptr; ///< a final '/' matches every path below
     route function = nullptr;
@@ -115,16 +115,16 @@
 void operator_api::on_request(const http_request& request, const reply_ptr& reply)
 {
     static constexpr std::array table{
-        row{"GET", "/metrics", &operator_api::get_metrics, true},
-        row{"GET", "/healthz", &operator_api::get_health, true},
-        row{"GET", "/readyz", &operator_api::get_readiness, true},
-        row{"GET", "/v1/status", &operator_api::get_status},
-        row{"GET", "/v1/configuration", &operator_api::get_configuration},
-        row{"GET", "/v1/explain/", &operator_api::get_explanation},
-        row{"POST", "/v1/configuration", &operator_api::post_configuration},
-        row{"POST", "/v1/plan", &operator_api::post_plan},
-        row{"POST", "/v1/drain", &operator_api::post_drain},
-        row{"POST", "/v1/stop", &operator_api::post_stop},
+        route_entry{"GET", "/metrics", &operator_api::get_metrics, true},
+        route_entry{"GET", "/healthz", &operator_api::get_health, true},
+        route_entry{"GET", "/readyz", &operator_api::get_readiness, true},
+        route_entry{"GET", "/v1/status", &operator_api::get_status},
+        route_entry{"GET", "/v1/configuration", &operator_api::get_configuration},
+        route_entry{"GET", "/v1/explain/", &operator_api::get_explanation},
+        route_entry{"POST", "/v1/configuration", &operator_api::post_configuration},
+        route_entry{"POST", "/v1/plan", &operator_api::post_plan},
+        route_entry{"POST", "/v1/drain", &operator_api::post_drain},
+        route_entry{"POST", "/v1/stop", &operator_api::post_stop},
     };
     const auto path = request.target.substr(0, request.target.find('?'));
     bool path_known = false;
--- a/src/daemon/operator_api.h
+++ b/src/daemon/operator_api.h
@@ -23,7 +23,7 @@
 private:
     using reply_ptr = std::shared_ptr<http_reply>;
     using route = void (operator_api::*)(const http_request&, const reply_ptr&);
-    struct row;
+    struct route_entry;
 
     [[nodiscard]] bool is_allowed(const http_request& request) const;
     void on_request(const http_request& request, const reply_ptr& reply);
--- a/src/daemon/runner_client.cpp
+++ b/src/daemon/runner_client.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// Number of bytes after which no more of an answer's body is read.
-constexpr std::size_t max_state = 65536;
+constexpr std::size_t max_report_bytes = 65536;
 /// Limits for establishing the connection and for the time between bytes of the answer.
-constexpr call_options state_call{milliseconds{800}, milliseconds{1500}};
+constexpr call_options call_limits{milliseconds{800}, milliseconds{1500}};
 
 std::optional<runner_phase> parse_phase(const std::string& text)
 {
@@ -67,7 +67,7 @@
     };
     handlers.on_body = [this, key](const std::string& bytes) {
         auto& it = pending_.at(key);
-        if (it.body.size() < max_state) {
+        if (it.body.size() < max_report_bytes) {
             it.body += bytes;
         }
     };
@@ -75,7 +75,7 @@
         end(key, runner, how, why);
     };
     auto& it = pending_[key];
-    it.call = std::make_unique<upstream_call>(to, request, state_call, std::move(handlers));
+    it.call = std::make_unique<upstream_call>(to, request, call_limits, std::move(handlers));
     it.call->start();
 }
 
@@ -89,12 +89,12 @@
                             ? parse_runner_report(it.body)
                             : std::nullopt;
     if (report) {
-        unclear_.erase(key);
+        last_failures_.erase(key);
         on_report_(runner, *report);
         return;
     }
     const auto text = std::to_string(it.status) + why.text;
-    if (std::exchange(unclear_[key], text) == text) {
+    if (std::exchange(last_failures_[key], text) == text) {
         return;
     }
     log_line("runner_unclear")
@@ -107,7 +107,7 @@
         .write();
 }
 
-void runner_client::look(const std::vector<runner_spec>& runners)
+void runner_client::poll_states(const std::vector<runner_spec>& runners)
 {
     for (const auto& it : runners) {
         const auto key = "state " + it.id.str();
--- a/src/daemon/runner_client.h
+++ b/src/daemon/runner_client.h
@@ -24,7 +24,7 @@
     runner_client& operator=(const runner_client&) = delete;
 
     /// Requests the state of each runner, except of runners whose previous answer is outstanding.
-    void look(const std::vector<runner_spec>& runners);
+    void poll_states(const std::vector<runner_spec>& runners);
     void order(const runner_order& it);
 
 private:
@@ -40,7 +40,7 @@
 
     report_handler on_report_;
     std::map<std::string, pending> pending_;
-    std::map<std::string, std::string> unclear_; ///< last failure logged for each call
+    std::map<std::string, std::string> last_failures_; ///< last failure logged for each call
 };
 
 /// Parses the body of a state answer; returns nothing if it is not valid.
