--- a/include/cedarpoint/core/units.h
+++ b/include/cedarpoint/core/units.h
@@ -14,10 +14,10 @@
 
 using revision = quantity<struct revision_tag>; ///< configuration revision; 0 before the first
 using epoch = quantity<struct epoch_tag>;       ///< fencing number of a group's assignment
-/// Start time of a runner process, in Unix milliseconds by the runner's own clock. It distinguishes
-/// the successive processes ("lives") of a runner under the same id. 0 if the platform does not
-/// report it; each process then has an id of its own.
-using birth = quantity<struct birth_tag>;
+/// One run of a runner's process under the runner's id, named by its start time in Unix
+/// milliseconds by the runner's own clock. 0 if the platform does not report it; each process then
+/// has an id of its own.
+using incarnation = quantity<struct incarnation_tag>;
 using attempt_id = quantity<struct attempt_tag>; ///< one dispatch of a request to a runner
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/announcement.h
+++ b/include/cedarpoint/fleet/announcement.h
@@ -23,28 +23,28 @@
     member_phase phase = member_phase::joining;
 };
 
-/// Orders the heartbeats of a runner across its lives: a heartbeat of an earlier life precedes all
-/// of a later one, regardless of its number. If the clock was set back between two lives, the later
-/// one seems to be the earlier: its heartbeats are refused until the registry removes the other.
-/// The runner is unused for that time, but nothing is freed wrongly.
+/// Orders the heartbeats of a runner across its incarnations: a heartbeat of an earlier incarnation
+/// precedes all of a later one, regardless of its number. If the clock was set back between two
+/// incarnations, the later one seems to be the earlier: its heartbeats are refused until the
+/// registry removes the other. The runner is unused for that time, but nothing is freed wrongly.
 struct heartbeat_number {
-    birth born;
+    incarnation born;
     std::uint64_t sequence = 0;
     friend auto operator<=>(const heartbeat_number&, const heartbeat_number&) = default;
 };
 
 /// The content of a runner's heartbeat. A runner may restart under its id and then has no state of
-/// its earlier life.
+/// its earlier incarnation.
 struct announcement {
     runner_id id;
-    birth born;
+    incarnation born;
     service_id service;
     endpoint address;
     failure_domain_id failure_domain;
     fabric_domain_id fabric_domain; ///< empty if the runner's service forms no groups
     int slots = 1;
     bool draining = false;
-    std::uint64_t sequence = 0; ///< a later heartbeat of the same life has a higher one
+    std::uint64_t sequence = 0; ///< a later heartbeat of the same incarnation has a higher one
     std::vector<model_id> models;
     std::vector<model_id> staged;
     std::optional<group_membership> membership;
--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -46,10 +46,10 @@
     /// Records that another runner answered at the runner's address.
     void on_other_runner(const runner_id& runner);
     void on_order_result(instant now, const group_order& order, order_result result);
-    /// Records that the runner has announced in an answer that it is leaving. `life` is the life
-    /// that answered; 0 if not known. Has the same effect as the runner's own announcement that it
-    /// drains, regardless of its heartbeats.
-    void on_runner_leaving(const runner_id& runner, birth life);
+    /// Records that the runner has announced in an answer that it is leaving. `its_incarnation` is
+    /// the incarnation that answered; 0 if not known. Has the same effect as the runner's own
+    /// announcement that it drains, regardless of its heartbeats.
+    void on_runner_leaving(const runner_id& runner, incarnation its_incarnation);
 
     /// Processes an entry daemon's report and returns the answer to it.
     wire::fleet_update on_follow(instant now, const daemon_id& follower,
@@ -89,10 +89,10 @@
     void take_crashes(instant now, const daemon_id& follower, crash_histories in);
     /// Passes the full crash history of each request in `reported` to `on_crashes`.
     void report_crashes(instant now, const crash_histories& reported) const;
-    /// Records which lives of runners have ended according to a heartbeat. `earlier_owner` is the
-    /// previous owner of its address, if that was another runner.
-    void note_life(instant now, const announcement& in,
-                   const std::optional<runner_id>& earlier_owner);
+    /// Records which incarnations of runners have ended according to a heartbeat. `earlier_owner`
+    /// is the previous owner of its address, if that was another runner.
+    void note_incarnation(instant now, const announcement& in,
+                          const std::optional<runner_id>& earlier_owner);
     [[nodiscard]] wire::fleet_update make_update(instant now, std::uint64_t from) const;
 
     const platform_adapter& platform_;
@@ -109,8 +109,8 @@
     peer_clocks clocks_; ///< of entry daemons; kept across the terms of this daemon
     permit_allocator rate_limits_;
     quarantine_controller quarantine_;
-    std::map<runner_id, birth> drained_; ///< departures proposed to the log in this term
-    std::vector<planner_step> records_;  ///< commands for the log, collected until the next tick
+    std::map<runner_id, incarnation> drained_; ///< departures proposed to the log in this term
+    std::vector<planner_step> records_; ///< commands for the log, collected until the next tick
     std::uint64_t term_ = 0;
 };
 
--- a/include/cedarpoint/fleet/fleet_state.h
+++ b/include/cedarpoint/fleet/fleet_state.h
@@ -17,7 +17,7 @@
 
 namespace cedarpoint {
 
-/// A runner's first announcement in a life, as stored in the log.
+/// A runner's first announcement in an incarnation, as stored in the log.
 struct registered_runner {
     runner_id runner;
     service_id service;
@@ -26,7 +26,7 @@
     fabric_domain_id fabric_domain;
     int slots = 0;
     model_id loaded_model; ///< of the latest group that was formed with it; empty before the first
-    birth born{};          ///< of this life
+    incarnation born{};    ///< of this incarnation
 };
 
 /// A group whose members were all ready. Its head may be open from this log entry on.
@@ -57,7 +57,8 @@
     }
     /// Returns the text of the configuration as the operator sent it; empty if there is none.
     [[nodiscard]] std::string document() const;
-    /// Returns true if the latest life of the runner drains or is gone; neither is ever revoked.
+    /// Returns true if the latest incarnation of the runner drains or is gone; neither is ever
+    /// revoked.
     [[nodiscard]] bool is_leaving(const runner_id& runner) const;
     [[nodiscard]] bool is_gone(const runner_id& runner) const;
     [[nodiscard]] const std::map<runner_id, registered_runner>& registrations() const
@@ -77,7 +78,8 @@
     [[nodiscard]] static std::string put_configuration(std::uint64_t version,
                                                        const std::string& document);
     /// If `gone`, the runner has ended; otherwise it drains.
-    [[nodiscard]] static std::string depart(const runner_id& runner, bool gone, birth life = {});
+    [[nodiscard]] static std::string depart(const runner_id& runner, bool gone,
+                                            incarnation its_incarnation = {});
     [[nodiscard]] static std::string add_runner(const registered_runner& runner);
     /// Removes a runner that has sent no heartbeat for a long time.
     [[nodiscard]] static std::string remove_runner(const runner_id& runner);
@@ -90,7 +92,7 @@
 private:
     struct departure {
         bool gone = false;
-        birth life;
+        incarnation its_incarnation;
     };
 
     [[nodiscard]] const departure* find_departure(const runner_id& runner) const;
--- a/include/cedarpoint/fleet/fleet_target.h
+++ b/include/cedarpoint/fleet/fleet_target.h
@@ -13,7 +13,7 @@
 /// latest view, which is up to a few hundred milliseconds old, and older while there is no leader.
 struct fleet_target {
     runner_id runner;
-    birth life;
+    incarnation its_incarnation;
     endpoint address;
     service_id service;
     model_id model; ///< model of the group; empty for a plain runner
--- a/include/cedarpoint/fleet/group_plan.h
+++ b/include/cedarpoint/fleet/group_plan.h
@@ -34,12 +34,14 @@
     void bind(const planned_group& group, const runner_id& member) { bound_[member] = group.name; }
     /// Frees a member that has confirmed that it left the group; it may be ordered to join another
     /// one. A heartbeat later than `latest` that names the group means that the member has rejoined
-    /// it: an order to join may be carried out seconds late, even by a later life of the member.
+    /// it: an order to join may be carried out seconds late, even by a later incarnation of the
+    /// member.
     void free(const planned_group& group, const runner_id& member, heartbeat_number latest);
-    /// Frees a member of a group that was never opened: all reports of this life of the member that
-    /// name the group are ignored.
-    void free_unopened(const planned_group& group, const runner_id& member, birth life);
-    /// Clears the runner's loaded model, because a new life of it has loaded none.
+    /// Frees a member of a group that was never opened: all reports of this incarnation of the
+    /// member that name the group are ignored.
+    void free_unopened(const planned_group& group, const runner_id& member,
+                       incarnation its_incarnation);
+    /// Clears the runner's loaded model, because a new incarnation of it has loaded none.
     void clear_loaded(const runner_id& runner) { last_models_.erase(runner); }
     /// Removes the member from the group without freeing it: later reports that name the group
     /// still count.
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -50,7 +50,7 @@
     void on_alive(const runner_id& runner);
     /// Records that the runner has restarted under its id with nothing loaded. Its heartbeats end
     /// its group membership; this clears its loaded model, which no heartbeat reports.
-    void on_new_life(const runner_id& runner);
+    void on_new_incarnation(const runner_id& runner);
     void set_event_handler(std::function<void(const plan_event&)> handler);
 
     [[nodiscard]] const group_plan::group_map& groups() const { return plan_.groups(); }
--- a/include/cedarpoint/fleet/health_report.h
+++ b/include/cedarpoint/fleet/health_report.h
@@ -46,7 +46,7 @@
     crash_histories cuts;
     /// Runners that have said in an answer that they leave, each with the start time of the process
     /// that said so. Reported for as long as the view shows them as accepting.
-    std::map<runner_id, birth> leaving;
+    std::map<runner_id, incarnation> leaving;
 };
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/platform_adapter.h
+++ b/include/cedarpoint/fleet/platform_adapter.h
@@ -55,7 +55,7 @@
     read_announcement(const runner_id& id, std::string_view body, reason& why) const = 0;
     /// Returns the start time of a runner process that deregisters; 0 if `body` has none or is
     /// invalid.
-    [[nodiscard]] virtual birth read_departing_life(std::string_view body) const = 0;
+    [[nodiscard]] virtual incarnation read_departing_incarnation(std::string_view body) const = 0;
     [[nodiscard]] virtual std::string write_order(const group_order& order) const = 0;
 };
 
--- a/include/cedarpoint/fleet/runner_registry.h
+++ b/include/cedarpoint/fleet/runner_registry.h
@@ -10,7 +10,7 @@
 
 namespace cedarpoint {
 
-/// What the heartbeats and probe answers of a runner's latest life report.
+/// What the heartbeats and probe answers of a runner's latest incarnation report.
 struct runner_record {
     announcement latest;
     instant last_contact; ///< time of the latest heartbeat or probe answer
@@ -30,7 +30,7 @@
     /// until it sends one.
     void add_assumed(instant now, announcement assumed);
     /// Processes a heartbeat. Returns false if it is older than one processed before, or of an
-    /// earlier life.
+    /// earlier incarnation.
     bool announce(instant now, const announcement& in);
     /// Records that a runner has answered a probe. The content of the answer is ignored: it is some
     /// hundred milliseconds old, and heartbeats report each change at once.
@@ -57,13 +57,13 @@
         return !record.dead && !record.superseded && owns_address(record);
     }
     [[nodiscard]] const std::map<runner_id, runner_record>& records() const { return records_; }
-    /// Returns the time when a new runner, or a new life of a runner, last announced itself; empty
-    /// before the first.
+    /// Returns the time when a new runner, or a new incarnation of a runner, last announced itself;
+    /// empty before the first.
     [[nodiscard]] std::optional<instant> latest_arrival() const { return latest_arrival_; }
 
 private:
     void release_address(const runner_record& earlier, const announcement& in);
-    [[nodiscard]] bool may_own(instant now, const announcement& in, bool begins_life) const;
+    [[nodiscard]] bool may_own(instant now, const announcement& in, bool begins_incarnation) const;
 
     std::map<runner_id, runner_record> records_;
     std::map<endpoint, runner_id> owners_;
--- a/include/cedarpoint/fleet/target_set.h
+++ b/include/cedarpoint/fleet/target_set.h
@@ -74,7 +74,7 @@
 
     /// Returns the accepting targets that have said in an answer that they leave, each with the
     /// start time of the runner process that said so.
-    [[nodiscard]] std::map<runner_id, birth> leaving_targets() const;
+    [[nodiscard]] std::map<runner_id, incarnation> leaving_targets() const;
 
     /// Returns the observations to report to the leader. Each wait is reported only once.
     [[nodiscard]] std::map<runner_id, runner_observation> take_observations(instant now);
--- a/include/cedarpoint/fleet/view_content.h
+++ b/include/cedarpoint/fleet/view_content.h
@@ -13,7 +13,7 @@
 /// A runner that requests can be sent to, as described to entry daemons.
 struct view_runner {
     runner_id id;
-    birth life;
+    incarnation its_incarnation;
     service_id service;
     endpoint address;
     failure_domain_id failure_domain;
--- a/include/cedarpoint/quarantine/crash_ledger.h
+++ b/include/cedarpoint/quarantine/crash_ledger.h
@@ -12,8 +12,8 @@
 
 /// Returns true if both observations are of the same crash of the same runner. Two crashes of one
 /// runner are distinguished by a connection that was made after the first crash: a new process
-/// accepted it. This holds however soon the runner restarts. If only a later life of the runner
-/// proves one of the crashes, they are distinguished by the life that ended.
+/// accepted it. This holds however soon the runner restarts. If only a later incarnation of the
+/// runner proves one of the crashes, they are distinguished by the incarnation that ended.
 [[nodiscard]] bool is_same_end(const crash_observation& one, const crash_observation& other);
 
 /// Records which requests were in flight when runners crashed. Observations from several daemons
--- a/include/cedarpoint/quarantine/crash_observation.h
+++ b/include/cedarpoint/quarantine/crash_observation.h
@@ -27,11 +27,11 @@
     /// Identifies the observation among those of one daemon at this runner, also when it is
     /// reported again; 0 if the daemon doesn't report it.
     std::uint64_t serial = 0;
-    /// The latest life of the runner that the leader knew of at `ended_at`.
-    birth life;
-    /// True if the crash is proved only by a later life of the runner, because its address
+    /// The latest incarnation of the runner that the leader knew of at `ended_at`.
+    incarnation its_incarnation;
+    /// True if the crash is proved only by a later incarnation of the runner, because its address
     /// accepted connections all along.
-    bool is_proved_by_life = false;
+    bool is_proved_by_incarnation = false;
 };
 
 /// Returns true if both are the same observation, reported twice by one daemon.
--- a/include/cedarpoint/quarantine/crash_witness.h
+++ b/include/cedarpoint/quarantine/crash_witness.h
@@ -34,8 +34,8 @@
     /// `on_checked`; false if a check of this runner is already under way.
     bool on_cut(const request_fingerprint& request, crash_observation in);
     /// Takes the result of the check of a runner's address. Returns the cuts that it proves to be
-    /// crashes. If they belong to several lives of the runner, a refused connection proves only
-    /// those of the latest one.
+    /// crashes. If they belong to several incarnations of the runner, a refused connection proves
+    /// only those of the latest one.
     crash_histories on_checked(instant now, const runner_id& runner, bool refused);
     /// Adds the observations of another daemon, where there is no leader to combine them.
     void merge(instant now, const crash_histories& in);
@@ -76,7 +76,7 @@
         crash_observation crash;
     };
     /// A cut that is not proved to be a crash: the runner's address accepted a connection
-    /// afterwards, or the refused connection proves only the end of a later life.
+    /// afterwards, or the refused connection proves only the end of a later incarnation.
     struct unproved_cut {
         request_fingerprint request;
         crash_observation crash;
--- a/include/cedarpoint/quarantine/quarantine_controller.h
+++ b/include/cedarpoint/quarantine/quarantine_controller.h
@@ -4,7 +4,7 @@
 #include "cedarpoint/core/time.h"
 #include "cedarpoint/quarantine/crash_ledger.h"
 #include "cedarpoint/quarantine/crash_observation.h"
-#include "cedarpoint/quarantine/runner_lives.h"
+#include "cedarpoint/quarantine/runner_incarnations.h"
 #include "cedarpoint/quarantine/unproved_cuts.h"
 
 #include <map>
@@ -30,18 +30,21 @@
     void clear();
     void on_report(const crash_histories& in);
     /// Adds cuts that the entry daemons could not prove to be crashes. Returns those that are now
-    /// known to be crashes: a later life of the runner may have been seen already. Not called by
-    /// `fleet_leader` today: reported cuts are not counted.
+    /// known to be crashes: a later incarnation of the runner may have been seen already. Not
+    /// called by `fleet_leader` today: reported cuts are not counted.
     crash_histories on_cuts(instant now, const crash_histories& in);
-    /// Records the life of the runner that the replicated log holds.
-    void expect(const runner_id& runner, birth life) { lives_.expect(runner, life); }
-    /// Records a heartbeat of the runner in this life. Returns the cuts that this proves to be
-    /// crashes.
-    crash_histories on_heard(instant now, const runner_id& runner, birth life);
+    /// Records the incarnation of the runner that the replicated log holds.
+    void expect(const runner_id& runner, incarnation its_incarnation)
+    {
+        incarnations_.expect(runner, its_incarnation);
+    }
+    /// Records a heartbeat of the runner in this incarnation. Returns the cuts that this proves to
+    /// be crashes.
+    crash_histories on_heard(instant now, const runner_id& runner, incarnation its_incarnation);
     /// Records that another runner has started at the runner's address. Returns the cuts that this
     /// proves to be crashes.
     crash_histories on_replaced(instant now, const runner_id& runner);
-    void forget(const runner_id& runner) { lives_.forget(runner); }
+    void forget(const runner_id& runner) { incarnations_.forget(runner); }
     /// Returns the requests to quarantine in addition to those in `quarantined`, as determined by
     /// `find_crash_causes`. Returns each again at intervals until it is in `quarantined`.
     [[nodiscard]] std::vector<quarantine_order>
@@ -63,7 +66,7 @@
     crash_histories take_proved(instant now);
 
     crash_ledger ledger_;
-    runner_lives lives_;
+    runner_incarnations incarnations_;
     unproved_cuts cuts_;
     std::map<request_fingerprint, instant> ordered_at_;
     std::set<request_fingerprint> causes_;      ///< as of the latest decision
--- a/include/cedarpoint/quarantine/unproved_cuts.h
+++ b/include/cedarpoint/quarantine/unproved_cuts.h
@@ -3,7 +3,7 @@
 #include "cedarpoint/core/time.h"
 #include "cedarpoint/quarantine/crash_observation.h"
 #include "cedarpoint/quarantine/request_fingerprint.h"
-#include "cedarpoint/quarantine/runner_lives.h"
+#include "cedarpoint/quarantine/runner_incarnations.h"
 
 #include <vector>
 
@@ -11,8 +11,8 @@
 
 /// Holds cuts at runners whose addresses accepted connections afterwards. Such a cut is either a
 /// reset of the connection, or a crash of a runner that restarted at once or whose listening socket
-/// is kept open by a supervisor. A cut is held until a later life of the runner proves that it was
-/// a crash, or until it is too old for such a proof.
+/// is kept open by a supervisor. A cut is held until a later incarnation of the runner proves that
+/// it was a crash, or until it is too old for such a proof.
 class unproved_cuts {
 public:
     /// Adds observations that entry daemons report. Skips those that are already held.
@@ -20,9 +20,9 @@
     /// Drops earlier cuts of a request that a runner answered completely at `at`: the request did
     /// not cause them.
     void on_answer(instant at, const request_fingerprint& request);
-    /// Removes and returns the cuts that are proved to be crashes, with the life that ended filled
-    /// in.
-    [[nodiscard]] crash_histories take_proved(instant now, const runner_lives& lives);
+    /// Removes and returns the cuts that are proved to be crashes, with the incarnation that ended
+    /// filled in.
+    [[nodiscard]] crash_histories take_proved(instant now, const runner_incarnations& incarnations);
     void clear() { cuts_.clear(); }
 
 private:
--- a/src/control_daemon/control_api.cpp
+++ b/src/control_daemon/control_api.cpp
@@ -107,7 +107,8 @@
         lift_quarantine(parsed.request, reply);
         break;
     default:
-        handle_departure(parsed.runner, true, platform_.read_departing_life(request.body), reply);
+        handle_departure(parsed.runner, true, platform_.read_departing_incarnation(request.body),
+                         reply);
         break;
     }
 }
@@ -186,20 +187,21 @@
     answer(reply, http_status::ok, "{}");
 }
 
-void control_api::handle_departure(const runner_id& runner, bool gone, birth reported_life,
-                                   const reply_ptr& reply)
+void control_api::handle_departure(const runner_id& runner, bool gone,
+                                   incarnation reported_incarnation, const reply_ptr& reply)
 {
     const auto* record = leader_.registry().find(runner);
-    const auto latest = record == nullptr ? birth{} : record->latest.born;
-    const auto life = reported_life == birth{} ? latest : reported_life;
+    const auto latest = record == nullptr ? incarnation{} : record->latest.born;
+    const auto its_incarnation =
+        reported_incarnation == incarnation{} ? latest : reported_incarnation;
     const bool is_known = gone ? state_.is_gone(runner) : state_.is_leaving(runner);
     // A departure from before the runner's latest start no longer applies.
-    if (is_known || life < latest) {
+    if (is_known || its_incarnation < latest) {
         answer(reply, http_status::ok, "{}");
         return;
     }
     const bool proposed = hooks_.propose(
-        fleet_state::depart(runner, gone, life),
+        fleet_state::depart(runner, gone, its_incarnation),
         [this, reply, runner, gone](const std::optional<std::string>& applied) {
             log_line("departure")
                 .with("runner", runner.str())
--- a/src/control_daemon/control_api.h
+++ b/src/control_daemon/control_api.h
@@ -54,8 +54,9 @@
     void list_quarantine(const reply_ptr& reply);
     void lift_quarantine(const request_fingerprint& request, const reply_ptr& reply);
     /// Proposes a runner's departure to the log. `gone`: the runner terminates; otherwise it
-    /// drains. `reported_life`: the runner's start time as stated in the call; 0 if it states none.
-    void handle_departure(const runner_id& runner, bool gone, birth reported_life,
+    /// drains. `reported_incarnation`: the runner's start time as stated in the call; 0 if it
+    /// states none.
+    void handle_departure(const runner_id& runner, bool gone, incarnation reported_incarnation,
                           const reply_ptr& reply);
 
     const platform_adapter& platform_;
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -202,12 +202,12 @@
     hooks.on_probe_failed = [this](const runner_id& runner, probe_failure how) {
         on_probe_failed(runner, how);
     };
-    hooks.life_of = [this](const runner_id& runner) {
+    hooks.incarnation_of = [this](const runner_id& runner) {
         const auto* record = leader_.registry().find(runner);
-        return record == nullptr ? birth{} : record->latest.born;
+        return record == nullptr ? incarnation{} : record->latest.born;
     };
-    hooks.on_leaving = [this](const runner_id& runner, birth life) {
-        leader_.on_runner_leaving(runner, life);
+    hooks.on_leaving = [this](const runner_id& runner, incarnation its_incarnation) {
+        leader_.on_runner_leaving(runner, its_incarnation);
     };
     orders_ = std::make_unique<runner_orders>(platform_, std::move(hooks));
 }
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -53,7 +53,7 @@
 /// One order or probe that waits for its answer.
 struct runner_orders::call {
     planner_step step;
-    birth life; ///< the runner's start time, as known when the call began
+    incarnation its_incarnation; ///< the runner's start time, as known when the call began
     runner_connection* connection = nullptr;
     int status = 0; ///< 0 before the head has arrived
     QTimer timer;
@@ -85,14 +85,14 @@
 
 void runner_orders::carry_out(const planner_step& step)
 {
-    const auto life = hooks_.life_of(step.order.to);
-    holds_.on_life(steady_now(), step.order.to, life);
+    const auto its_incarnation = hooks_.incarnation_of(step.order.to);
+    holds_.on_incarnation(steady_now(), step.order.to, its_incarnation);
     if (holds_.find(steady_now(), step.order.to) == send_hold::paused) {
         return;
     }
     const auto each = std::make_shared<call>();
     each->step = step;
-    each->life = life;
+    each->its_incarnation = its_incarnation;
     calls_.insert(each);
     each->connection = pool_.take(step.order.address, longest_idle);
     start_timer(each);
@@ -165,10 +165,10 @@
                                               head.fields.values(retry_after_field),
                                               head.fields.values(platform_.headers().leaving)});
     if (signals.asks_for_pause()) {
-        holds_.on_pause(steady_now(), runner, each.life, signals.pause.time);
+        holds_.on_pause(steady_now(), runner, each.its_incarnation, signals.pause.time);
     }
     if (signals.leave == leave_reading::leaving) {
-        hooks_.on_leaving(runner, each.life);
+        hooks_.on_leaving(runner, each.its_incarnation);
     }
     log_signals(runner, signals, {}, "");
 }
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -34,10 +34,10 @@
         std::function<void(const runner_id&)> on_probe_answered;
         std::function<void(const runner_id&, probe_failure)> on_probe_failed;
         /// Returns the latest known start time of a runner; 0 if unknown.
-        std::function<birth(const runner_id&)> life_of;
-        /// Called when an answer says that the runner leaves. `birth` is the runner's start time as
-        /// known when the call began.
-        std::function<void(const runner_id&, birth)> on_leaving;
+        std::function<incarnation(const runner_id&)> incarnation_of;
+        /// Called when an answer says that the runner leaves. `incarnation` is the runner's start
+        /// time as known when the call began.
+        std::function<void(const runner_id&, incarnation)> on_leaving;
     };
 
     runner_orders(const platform_adapter& platform, hooks hooks);
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -11,9 +11,10 @@
 
 runner_attempt::runner_attempt(entry_context& context, const fleet_target& target, options options,
                                handlers handlers)
-    : context_{context}, address_{target.address}, runner_{target.runner}, life_{target.life},
-      group_{target.group}, is_group_head_{!target.model.empty()}, options_{std::move(options)},
-      handlers_{std::move(handlers)}
+    : context_{context}, address_{target.address}, runner_{target.runner},
+      incarnation_{target.its_incarnation}, group_{target.group},
+      is_group_head_{!target.model.empty()}, options_{std::move(options)}, handlers_{
+                                                                               std::move(handlers)}
 {
     stall_timer_.setSingleShot(true);
     stall_timer_.setTimerType(Qt::PreciseTimer);
@@ -150,11 +151,12 @@
     }
     auto& holds = context_.targets.holds();
     if (signals_.asks_for_pause()) {
-        holds.on_pause(now, runner_, life_, signals_.pause.time);
+        holds.on_pause(now, runner_, incarnation_, signals_.pause.time);
     }
     signal_news news;
     news.rate_limit = record_rate_limit(now);
-    news.leave = signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, life_);
+    news.leave =
+        signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, incarnation_);
     log_signals(runner_, signals_, news, options_.id);
     if (news.rate_limit || news.leave) {
         // Other daemons go on sending there until the leader publishes the change.
--- a/src/entry/runner_attempt.h
+++ b/src/entry/runner_attempt.h
@@ -104,7 +104,8 @@
     entry_context& context_;
     endpoint address_;
     runner_id runner_;
-    birth life_; ///< the runner's start time, from the view at the beginning of the attempt
+    incarnation
+        incarnation_; ///< the runner's start time, from the view at the beginning of the attempt
     group_id group_;
     bool is_group_head_;
     options options_;
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -125,12 +125,12 @@
     if ((!is_known && earlier_owner) || !registry_.announce(now, in)) {
         return false;
     }
-    note_life(now, in, earlier_owner);
+    note_incarnation(now, in, earlier_owner);
     planner_.on_alive(in.id);
     const auto registered = state_.registrations().find(in.id);
     const bool is_new = registered == state_.registrations().end();
     if (!is_new && in.born > registered->second.born) {
-        planner_.on_new_life(in.id);
+        planner_.on_new_incarnation(in.id);
     }
     if (is_new || in.born > registered->second.born) {
         records_.push_back(make_record(
@@ -140,8 +140,8 @@
     return true;
 }
 
-void fleet_leader::note_life(instant now, const announcement& in,
-                             const std::optional<runner_id>& earlier_owner)
+void fleet_leader::note_incarnation(instant now, const announcement& in,
+                                    const std::optional<runner_id>& earlier_owner)
 {
     report_crashes(now, quarantine_.on_heard(now, in.id, in.born));
     if (const auto* earlier = earlier_owner ? registry_.find(*earlier_owner) : nullptr;
@@ -166,21 +166,22 @@
     registry_.note_dead(runner);
 }
 
-void fleet_leader::on_runner_leaving(const runner_id& runner, birth life)
+void fleet_leader::on_runner_leaving(const runner_id& runner, incarnation its_incarnation)
 {
     const auto* record = registry_.find(runner);
     if (record == nullptr || state_.is_leaving(runner)) {
         return;
     }
-    const auto departed_life = life == birth{} ? record->latest.born : life;
-    if (departed_life < record->latest.born) {
-        return; // the answer came from an earlier life
+    const auto departed_incarnation =
+        its_incarnation == incarnation{} ? record->latest.born : its_incarnation;
+    if (departed_incarnation < record->latest.born) {
+        return; // the answer came from an earlier incarnation
     }
-    const auto [found, is_first] = drained_.try_emplace(runner, departed_life);
-    if (!is_first && std::exchange(found->second, departed_life) == departed_life) {
+    const auto [found, is_first] = drained_.try_emplace(runner, departed_incarnation);
+    if (!is_first && std::exchange(found->second, departed_incarnation) == departed_incarnation) {
         return;
     }
-    records_.push_back(make_record(fleet_state::depart(runner, false, departed_life)));
+    records_.push_back(make_record(fleet_state::depart(runner, false, departed_incarnation)));
     if (on_leave_heard) {
         on_leave_heard(runner);
     }
@@ -237,8 +238,8 @@
     auto report = decode_report(in);
     reports_.put(now, follower, report);
     take_rate_limits(now, follower, std::move(report.rate_limits));
-    for (const auto& [runner, life] : report.leaving) {
-        on_runner_leaving(runner, life);
+    for (const auto& [runner, its_incarnation] : report.leaving) {
+        on_runner_leaving(runner, its_incarnation);
     }
     const auto made_at = clocks_.sent_at(now, follower, in.stamp_us());
     take_crashes(now, follower, decode_crashes(made_at, in.suspected()));
--- a/src/fleet/fleet_messages.cpp
+++ b/src/fleet/fleet_messages.cpp
@@ -31,7 +31,7 @@
     out.set_accepting(in.accepting);
     out.set_doubted(in.suspected);
     out.set_slowness(static_cast<std::uint32_t>(in.slowness));
-    out.set_born(in.life.value);
+    out.set_born(in.its_incarnation.value);
     return item;
 }
 
@@ -64,7 +64,7 @@
 {
     view_runner out;
     out.id = runner_id{in.id()};
-    out.life = birth{in.born()};
+    out.its_incarnation = incarnation{in.born()};
     out.service = service_id{in.service()};
     out.address = address;
     out.failure_domain = failure_domain_id{in.failure_domain()};
@@ -208,10 +208,10 @@
         each->set_runner(runner.str());
         encode_rate_limit(seen, *each);
     }
-    for (const auto& [runner, life] : in.leaving) {
+    for (const auto& [runner, its_incarnation] : in.leaving) {
         auto* each = out.add_leaving();
         each->set_runner(runner.str());
-        each->set_born(life.value);
+        each->set_born(its_incarnation.value);
     }
 }
 
@@ -231,7 +231,7 @@
         out.rate_limits[runner_id{each.runner()}] = decode_rate_limit(each);
     }
     for (const auto& each : in.leaving()) {
-        out.leaving[runner_id{each.runner()}] = birth{each.born()};
+        out.leaving[runner_id{each.runner()}] = incarnation{each.born()};
     }
     return out;
 }
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -25,7 +25,7 @@
                              fabric_domain_id{in.fabric_domain()},
                              static_cast<int>(in.slots()),
                              model_id{in.loaded_model()},
-                             birth{in.born()}};
+                             incarnation{in.born()}};
 }
 
 wire::registration encode(const registered_runner& in)
@@ -89,12 +89,12 @@
     return out.SerializeAsString();
 }
 
-std::string fleet_state::depart(const runner_id& runner, bool gone, birth life)
+std::string fleet_state::depart(const runner_id& runner, bool gone, incarnation its_incarnation)
 {
     wire::fleet_command out;
     out.mutable_departure()->set_runner(runner.str());
     out.mutable_departure()->set_gone(gone);
-    out.mutable_departure()->set_born(life.value);
+    out.mutable_departure()->set_born(its_incarnation.value);
     return out.SerializeAsString();
 }
 
@@ -201,10 +201,11 @@
         departure_order_.push_back(runner);
     }
     auto& known = found->second;
-    if (const birth life{in.born()}; added || life > known.life) {
-        known = {in.gone(), life};
+    if (const incarnation its_incarnation{in.born()};
+        added || its_incarnation > known.its_incarnation) {
+        known = {in.gone(), its_incarnation};
     }
-    else if (life == known.life) {
+    else if (its_incarnation == known.its_incarnation) {
         known.gone = known.gone || in.gone();
     }
     while (departure_order_.size() > most_departures) {
@@ -250,13 +251,14 @@
     if (found == departures_.end()) {
         return nullptr;
     }
-    // If the departed life is not known, as in logs of earlier versions, the departure applies to
-    // all lives.
-    const auto left = found->second.life;
+    // If the departed incarnation is not known, as in logs of earlier versions, the departure
+    // applies to all incarnations.
+    const auto left = found->second.its_incarnation;
     const auto registered = registrations_.find(runner);
-    const bool lives_on =
-        left != birth{} && registered != registrations_.end() && registered->second.born > left;
-    return lives_on ? nullptr : &found->second;
+    const bool has_later_incarnation = left != incarnation{} &&
+                                       registered != registrations_.end() &&
+                                       registered->second.born > left;
+    return has_later_incarnation ? nullptr : &found->second;
 }
 
 bool fleet_state::is_leaving(const runner_id& runner) const
@@ -279,7 +281,7 @@
         mark->set_runner(runner.str());
         const auto& left = departures_.at(runner);
         mark->set_gone(left.gone);
-        mark->set_born(left.life.value);
+        mark->set_born(left.its_incarnation.value);
     }
     for (const auto& [runner, registration] : registrations_) {
         *out.add_registrations() = encode(registration);
--- a/src/fleet/group_lifecycle.cpp
+++ b/src/fleet/group_lifecycle.cpp
@@ -275,7 +275,7 @@
 {
     for (const auto& member : group.members) {
         const auto* record = registry_.find(member);
-        plan_.free_unopened(group, member, record == nullptr ? birth{} : record->latest.born);
+        plan_.free_unopened(group, member, record == nullptr ? incarnation{} : record->latest.born);
     }
     end(group, why);
 }
--- a/src/fleet/group_plan.cpp
+++ b/src/fleet/group_plan.cpp
@@ -52,9 +52,10 @@
     freed_[{group.name, member}] = latest;
 }
 
-void group_plan::free_unopened(const planned_group& group, const runner_id& member, birth life)
+void group_plan::free_unopened(const planned_group& group, const runner_id& member,
+                               incarnation its_incarnation)
 {
-    free(group, member, {life, std::numeric_limits<std::uint64_t>::max()});
+    free(group, member, {its_incarnation, std::numeric_limits<std::uint64_t>::max()});
 }
 
 void group_plan::unbind(const planned_group& group, const runner_id& member)
--- a/src/fleet/group_planner.cpp
+++ b/src/fleet/group_planner.cpp
@@ -84,7 +84,7 @@
     detector_.on_alive(runner);
 }
 
-void group_planner::on_new_life(const runner_id& runner)
+void group_planner::on_new_incarnation(const runner_id& runner)
 {
     plan_.clear_loaded(runner);
 }
--- a/src/fleet/runner_registry.cpp
+++ b/src/fleet/runner_registry.cpp
@@ -8,7 +8,7 @@
 constexpr duration owner_timeout = seconds{4};
 /// Before that, a runner that is new to the registry may take it over only with a heartbeat number
 /// of at most this. A higher number may belong to a delayed heartbeat of a runner that has ended. A
-/// runner whose present life is already in the registry may take it over at once.
+/// runner whose present incarnation is already in the registry may take it over at once.
 constexpr std::uint64_t max_initial_sequence = 3;
 
 } // namespace
@@ -27,7 +27,7 @@
     return is_other ? std::optional{owner->second} : std::nullopt;
 }
 
-bool runner_registry::may_own(instant now, const announcement& in, bool begins_life) const
+bool runner_registry::may_own(instant now, const announcement& in, bool begins_incarnation) const
 {
     if (!has_other_owner(in)) {
         return true;
@@ -36,18 +36,18 @@
     // started.
     const auto* other = find(owners_.at(in.address));
     const bool is_owner_active = other != nullptr && now - other->last_contact < owner_timeout;
-    return !is_owner_active || (begins_life ? in.sequence <= max_initial_sequence : true);
+    return !is_owner_active || (begins_incarnation ? in.sequence <= max_initial_sequence : true);
 }
 
 bool runner_registry::announce(instant now, const announcement& in)
 {
     auto [found, added] = records_.try_emplace(in.id);
     auto& record = found->second;
-    const bool begins_life = added || in.born > record.latest.born;
-    if (begins_life) {
+    const bool begins_incarnation = added || in.born > record.latest.born;
+    if (begins_incarnation) {
         latest_arrival_ = now;
         release_address(record, in);
-        record = {}; // the record of an earlier life does not apply to this one
+        record = {}; // the record of an earlier incarnation does not apply to this one
     }
     else if (in.number() <= record.latest.number() || record.superseded) {
         return false;
@@ -56,7 +56,7 @@
     record.last_contact = now;
     record.assumed = false;
     record.dead = false;
-    if (may_own(now, in, begins_life)) {
+    if (may_own(now, in, begins_incarnation)) {
         auto& owner = owners_[in.address];
         if (const auto other = records_.find(owner); other != records_.end() && owner != in.id) {
             other->second.superseded = true;
--- a/src/fleet/target_set.cpp
+++ b/src/fleet/target_set.cpp
@@ -11,7 +11,7 @@
 {
     fleet_target out;
     out.runner = in.id;
-    out.life = in.life;
+    out.its_incarnation = in.its_incarnation;
     out.address = in.address;
     out.service = in.service;
     out.failure_domain = in.failure_domain;
@@ -43,7 +43,7 @@
 {
     targets_.clear();
     by_service_model_.clear();
-    std::map<runner_id, birth> lives;
+    std::map<runner_id, incarnation> incarnations;
     std::map<runner_id, const view_group*> heads;
     for (const auto& [name, group] : view.groups) {
         if (!group.members.empty()) {
@@ -54,10 +54,10 @@
         const auto head = heads.find(runner);
         auto target = make_target(facts, head == heads.end() ? nullptr : head->second);
         by_service_model_[{target.service, target.model}].push_back(runner);
-        lives[runner] = target.life;
+        incarnations[runner] = target.its_incarnation;
         targets_.emplace(runner, std::move(target));
     }
-    holds_.on_lives(now, std::move(lives));
+    holds_.on_incarnations(now, std::move(incarnations));
     std::erase_if(stats_, [&](const auto& each) {
         return each.second.in_flight == 0 && !targets_.contains(each.first);
     });
@@ -132,7 +132,7 @@
     return found == targets_.end() ? nullptr : &found->second;
 }
 
-std::map<runner_id, birth> target_set::leaving_targets() const
+std::map<runner_id, incarnation> target_set::leaving_targets() const
 {
     auto out = holds_.leaving();
     std::erase_if(out, [this](const auto& each) {
--- a/src/fleet/view_builder.cpp
+++ b/src/fleet/view_builder.cpp
@@ -15,7 +15,7 @@
 {
     view_runner out;
     out.id = id;
-    out.life = in.born;
+    out.its_incarnation = in.born;
     out.service = in.service;
     out.address = in.address;
     out.failure_domain = in.failure_domain;
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -74,7 +74,7 @@
 }
 
 /// Returns true if the runner accepted the connection of `later` after it had ended in `earlier`.
-bool is_of_later_life(const crash_observation& later, const crash_observation& earlier)
+bool is_of_later_incarnation(const crash_observation& later, const crash_observation& earlier)
 {
     return later.connected_at ? *later.connected_at >= earlier.ended_at + clock_error
                               : later.sent_at >= earlier.ended_at + stale_send_time;
@@ -87,13 +87,13 @@
     if (one.runner != other.runner) {
         return false;
     }
-    if (one.is_proved_by_life || other.is_proved_by_life) {
+    if (one.is_proved_by_incarnation || other.is_proved_by_incarnation) {
         // Connections that were made while the runner was restarting are cut as well, so the time
         // of the connection does not distinguish the crashes.
-        return one.life == other.life;
+        return one.its_incarnation == other.its_incarnation;
     }
     return is_same_observation(one, other) ||
-           (!is_of_later_life(one, other) && !is_of_later_life(other, one));
+           (!is_of_later_incarnation(one, other) && !is_of_later_incarnation(other, one));
 }
 
 void crash_ledger::clear()
--- a/src/quarantine/crash_witness.cpp
+++ b/src/quarantine/crash_witness.cpp
@@ -22,7 +22,7 @@
 /// connections.
 constexpr std::size_t max_unproved_cuts = 256;
 
-/// A later life of a runner doesn't prove that a cut longer ago than this was a crash.
+/// A later incarnation of a runner doesn't prove that a cut longer ago than this was a crash.
 constexpr duration max_unproved_age = seconds{10};
 
 } // namespace
--- a/src/quarantine/quarantine_controller.cpp
+++ b/src/quarantine/quarantine_controller.cpp
@@ -21,7 +21,7 @@
 void quarantine_controller::clear()
 {
     ledger_.clear();
-    lives_.clear();
+    incarnations_.clear();
     cuts_.clear();
     ordered_at_.clear();
     causes_.clear();
@@ -33,7 +33,8 @@
     for (const auto& [request, reported] : in) {
         auto history = reported;
         for (auto& crash : history.crashes) {
-            crash.life = lives_.life_at(crash.runner, crash.ended_at).value_or(birth{});
+            crash.its_incarnation =
+                incarnations_.incarnation_at(crash.runner, crash.ended_at).value_or(incarnation{});
         }
         if (history.answered_at) {
             cuts_.on_answer(*history.answered_at, request);
@@ -49,20 +50,22 @@
     return take_proved(now);
 }
 
-crash_histories quarantine_controller::on_heard(instant now, const runner_id& runner, birth life)
+crash_histories quarantine_controller::on_heard(instant now, const runner_id& runner,
+                                                incarnation its_incarnation)
 {
-    return lives_.on_heard(now, runner, life) ? take_proved(now) : crash_histories{};
+    return incarnations_.on_heard(now, runner, its_incarnation) ? take_proved(now)
+                                                                : crash_histories{};
 }
 
 crash_histories quarantine_controller::on_replaced(instant now, const runner_id& runner)
 {
-    lives_.on_replaced(now, runner);
+    incarnations_.on_replaced(now, runner);
     return take_proved(now);
 }
 
 crash_histories quarantine_controller::take_proved(instant now)
 {
-    auto out = cuts_.take_proved(now, lives_);
+    auto out = cuts_.take_proved(now, incarnations_);
     for (const auto& [request, history] : out) {
         ledger_.merge(request, history);
         needs_update_ = true;
--- a/src/quarantine/unproved_cuts.cpp
+++ b/src/quarantine/unproved_cuts.cpp
@@ -10,7 +10,7 @@
 /// Enough for the requests of all entry daemons in flight at a few runners.
 constexpr std::size_t max_cuts = 1024;
 
-/// Longer than a runner takes to restart and send a heartbeat; see `runner_lives`.
+/// Longer than a runner takes to restart and send a heartbeat; see `runner_incarnations`.
 constexpr duration max_cut_age = seconds{12};
 
 } // namespace
@@ -43,19 +43,20 @@
     });
 }
 
-crash_histories unproved_cuts::take_proved(instant now, const runner_lives& lives)
+crash_histories unproved_cuts::take_proved(instant now, const runner_incarnations& incarnations)
 {
     drop_old(now);
     crash_histories out;
     std::vector<cut> waiting;
     for (auto& each : cuts_) {
-        const auto life = lives.life_ended_by(each.observation.runner, each.observation.ended_at);
-        if (!life) {
+        const auto its_incarnation =
+            incarnations.incarnation_ended_by(each.observation.runner, each.observation.ended_at);
+        if (!its_incarnation) {
             waiting.push_back(std::move(each));
             continue;
         }
-        each.observation.life = *life;
-        each.observation.is_proved_by_life = true;
+        each.observation.its_incarnation = *its_incarnation;
+        each.observation.is_proved_by_incarnation = true;
         out[each.request].crashes.push_back(std::move(each.observation));
     }
     cuts_ = std::move(waiting);
--- a/src/runner_signals/send_holds.cpp
+++ b/src/runner_signals/send_holds.cpp
@@ -6,8 +6,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Upper bound for the time until the view contains a new life. A pause that was asked for within
-/// this time before may have been asked for by the new life.
+/// Upper bound for the time until the view contains a new incarnation. A pause that was asked for
+/// within this time before may have been asked for by the new incarnation.
 constexpr duration view_delay = seconds{1};
 
 /// A leaving runner that has been absent from the view for this long is taken to have ended.
@@ -15,13 +15,15 @@
 
 } // namespace
 
-send_holds::hold& send_holds::hold_of(instant now, const runner_id& runner, birth life)
+send_holds::hold& send_holds::hold_of(instant now, const runner_id& runner,
+                                      incarnation its_incarnation)
 {
-    const auto seen = lives_.find(runner);
-    const auto latest = seen == lives_.end() ? life : std::max(life, seen->second);
+    const auto seen = incarnations_.find(runner);
+    const auto latest =
+        seen == incarnations_.end() ? its_incarnation : std::max(its_incarnation, seen->second);
     auto& out = holds_.try_emplace(runner, hold{latest, {}, {}, false, {}}).first->second;
-    if (latest > out.life) {
-        reset_for_new_life(now, latest, out);
+    if (latest > out.its_incarnation) {
+        reset_for_new_incarnation(now, latest, out);
     }
     if (out.absent_since) {
         out.absent_since = now; // the runner answers, so it has not ended
@@ -29,26 +31,27 @@
     return out;
 }
 
-void send_holds::on_pause(instant now, const runner_id& runner, birth life, duration time)
+void send_holds::on_pause(instant now, const runner_id& runner, incarnation its_incarnation,
+                          duration time)
 {
     std::erase_if(holds_, [now](const auto& each) { return is_expired(now, each.second); });
-    auto& own = hold_of(now, runner, life);
+    auto& own = hold_of(now, runner, its_incarnation);
     own.paused_at = now;
     own.paused_until = std::max(own.paused_until, now + time);
 }
 
-bool send_holds::on_leaving(instant now, const runner_id& runner, birth life)
+bool send_holds::on_leaving(instant now, const runner_id& runner, incarnation its_incarnation)
 {
-    auto& own = hold_of(now, runner, life);
-    if (life < own.life) {
-        return false; // the answer is from an earlier life
+    auto& own = hold_of(now, runner, its_incarnation);
+    if (its_incarnation < own.its_incarnation) {
+        return false; // the answer is from an earlier incarnation
     }
     return !std::exchange(own.leaving, true);
 }
 
-void send_holds::reset_for_new_life(instant now, birth life, hold& of)
+void send_holds::reset_for_new_incarnation(instant now, incarnation its_incarnation, hold& of)
 {
-    of.life = life;
+    of.its_incarnation = its_incarnation;
     // A leaving runner signals this in every answer, so one request is enough to detect it again.
     of.leaving = false;
     if (now - of.paused_at > view_delay) {
@@ -56,25 +59,25 @@
     }
 }
 
-void send_holds::on_life(instant now, const runner_id& runner, birth life)
+void send_holds::on_incarnation(instant now, const runner_id& runner, incarnation its_incarnation)
 {
     const auto found = holds_.find(runner);
-    if (found != holds_.end() && life > found->second.life) {
-        reset_for_new_life(now, life, found->second);
+    if (found != holds_.end() && its_incarnation > found->second.its_incarnation) {
+        reset_for_new_incarnation(now, its_incarnation, found->second);
     }
 }
 
-void send_holds::on_lives(instant now, std::map<runner_id, birth> lives)
+void send_holds::on_incarnations(instant now, std::map<runner_id, incarnation> incarnations)
 {
-    lives_ = std::move(lives);
+    incarnations_ = std::move(incarnations);
     for (auto& [runner, own] : holds_) {
-        const auto found = lives_.find(runner);
-        if (found == lives_.end()) {
+        const auto found = incarnations_.find(runner);
+        if (found == incarnations_.end()) {
             own.absent_since = own.absent_since.value_or(now);
             continue;
         }
         own.absent_since.reset();
-        on_life(now, runner, found->second);
+        on_incarnation(now, runner, found->second);
     }
     std::erase_if(holds_, [now](const auto& each) { return is_expired(now, each.second); });
 }
@@ -113,12 +116,12 @@
     return found->second.paused_until;
 }
 
-std::map<runner_id, birth> send_holds::leaving() const
+std::map<runner_id, incarnation> send_holds::leaving() const
 {
-    std::map<runner_id, birth> out;
+    std::map<runner_id, incarnation> out;
     for (const auto& [runner, own] : holds_) {
         if (own.leaving) {
-            out[runner] = own.life;
+            out[runner] = own.its_incarnation;
         }
     }
     return out;
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -164,8 +164,8 @@
     EXPECT_EQ(site.get(), document(10));
 }
 
-// Guards against refusing the heartbeats of a runner's new life because the old life's numbers were
-// higher; see `a_runner_that_starts_again_under_its_id`.
+// Guards against refusing the heartbeats of a runner's new incarnation because the old
+// incarnation's numbers were higher; see `a_runner_that_starts_again_under_its_id`.
 TEST_F(a_fleet, serves_with_a_runner_that_starts_again_under_its_id)
 {
     shop.clear();
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -217,7 +217,7 @@
 {
     const runner_id runner{"i-1"};
     auto alive = heartbeat_of("i-1", "shop", 1);
-    alive.born = birth{1000};
+    alive.born = incarnation{1000};
     ASSERT_TRUE(leader.announce(start, alive));
     const auto apply_all = [&] {
         for (const auto& step : leader.tick(start)) {
@@ -243,7 +243,7 @@
         << "regardless of its heartbeats and of the change of leader";
 
     // The runner restarts under its id.
-    alive.born = birth{2000};
+    alive.born = incarnation{2000};
     alive.sequence = 1;
     leader.announce(start + milliseconds{30}, alive);
     apply_all();
--- a/tests/fleet/fleet_state_test.cpp
+++ b/tests/fleet/fleet_state_test.cpp
@@ -190,10 +190,10 @@
     EXPECT_EQ(copy.configuration()->revision(), 8U);
 }
 
-TEST(a_departure, is_of_one_life_of_a_runner)
+TEST(a_departure, is_of_one_incarnation_of_a_runner)
 {
     const runner_id runner{"i-1"};
-    const auto life = [&](std::uint64_t born) {
+    const auto incarnation_from = [&](std::uint64_t born) {
         registered_runner out;
         out.runner = runner;
         out.address = endpoint{"10.0.0.1", 80};
@@ -201,10 +201,10 @@
         return fleet_state::add_runner(out);
     };
     fleet_state state;
-    state.apply(life(1000));
+    state.apply(incarnation_from(1000));
     state.apply(fleet_state::depart(runner, true, {1000}));
     EXPECT_TRUE(state.is_gone(runner));
-    state.apply(life(1001));
+    state.apply(incarnation_from(1001));
     fleet_state copy;
     ASSERT_TRUE(copy.restore(state.save()));
     for (const auto* each : {&state, &copy}) {
@@ -218,7 +218,7 @@
     EXPECT_FALSE(state.is_gone(runner));
 }
 
-TEST(a_departure, of_a_life_that_is_not_known_counts_for_all)
+TEST(a_departure, of_an_incarnation_that_is_not_known_counts_for_all)
 {
     const runner_id runner{"i-1"};
     fleet_state state;
--- a/tests/fleet/group_evidence_test.cpp
+++ b/tests/fleet/group_evidence_test.cpp
@@ -78,12 +78,12 @@
     EXPECT_FALSE(evidence.is_in_other_group(next, member));
 }
 
-TEST_F(the_members_of_a_group, are_back_if_a_later_life_of_them_names_it)
+TEST_F(the_members_of_a_group, are_back_if_a_later_incarnation_of_them_names_it)
 {
     free(member);
     auto reborn = registry.find(member)->latest;
     reborn.born = {1'000};
-    reborn.sequence = 1; // the new life carried out a delayed order to join
+    reborn.sequence = 1; // the new incarnation carried out a delayed order to join
     ASSERT_TRUE(registry.announce(start, reborn));
     EXPECT_FALSE(plan.is_freed(registry.find(member)->latest));
     EXPECT_TRUE(evidence.has_rejoined(group, member));
@@ -91,7 +91,7 @@
 
 TEST_F(the_members_of_a_group, that_was_never_opened_are_free_whatever_they_report)
 {
-    plan.free_unopened(group, member, birth{});
+    plan.free_unopened(group, member, incarnation{});
     receive_heartbeat(start, member, group.name);
     EXPECT_TRUE(plan.is_freed(registry.find(member)->latest));
     EXPECT_FALSE(evidence.has_rejoined(group, member));
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -28,7 +28,7 @@
       sequence_{sequence}
 {
     QObject::connect(&timer_, &QTimer::timeout, [this] { announce(); });
-    begin_life();
+    begin_incarnation();
 }
 
 void platform_runner::keep_port_open()
@@ -40,7 +40,7 @@
     EXPECT_TRUE(listener_->start(address_, why)) << why.str();
 }
 
-void platform_runner::begin_life()
+void platform_runner::begin_incarnation()
 {
     is_down_ = false;
     listener_.reset();
@@ -71,7 +71,7 @@
     state_.clear();
     sequence_ = 0;
     ++born_;
-    QTimer::singleShot(time_away, &timer_, [this] { begin_life(); });
+    QTimer::singleShot(time_away, &timer_, [this] { begin_incarnation(); });
 }
 
 std::string platform_runner::announcement_text()
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -75,7 +75,7 @@
     [[nodiscard]] bool is_turned_away(const http_request& request,
                                       const std::shared_ptr<http_reply>& reply);
     void announce();
-    void begin_life();
+    void begin_incarnation();
     /// Accepts connections at the address and aborts each one that sends a request.
     void keep_port_open();
     [[nodiscard]] std::string announcement_text();
--- a/tests/fleet/runner_orders_test.cpp
+++ b/tests/fleet/runner_orders_test.cpp
@@ -23,9 +23,9 @@
         hooks.on_order_end = [this](const group_order&, order_result) { ++ended; };
         hooks.on_probe_answered = [](const runner_id&) {};
         hooks.on_probe_failed = [](const runner_id&, probe_failure) {};
-        hooks.life_of = [this](const runner_id&) { return life; };
-        hooks.on_leaving = [this](const runner_id&, birth departed_life) {
-            left.push_back(departed_life);
+        hooks.incarnation_of = [this](const runner_id&) { return its_incarnation; };
+        hooks.on_leaving = [this](const runner_id&, incarnation departed_incarnation) {
+            left.push_back(departed_incarnation);
         };
         orders = std::make_unique<runner_orders>(installed_platform(), std::move(hooks));
     }
@@ -43,8 +43,8 @@
     int received = 0;
     int ended = 0;
     bool leads = true;
-    birth life{1000};
-    std::vector<birth> left; ///< lives that announced that they leave
+    incarnation its_incarnation{1000};
+    std::vector<incarnation> left; ///< incarnations that announced that they leave
     http_head answer{200, {}};
     http_listener runner{caller_limits{},
                          [this](const http_request&, const std::shared_ptr<http_reply>& reply) {
@@ -90,13 +90,13 @@
     EXPECT_EQ(received, 2);
 }
 
-TEST_F(orders_to_a_runner, tell_that_it_leaves_in_the_life_that_was_asked)
+TEST_F(orders_to_a_runner, tell_that_it_leaves_in_the_incarnation_that_was_asked)
 {
     answer.fields.add("Server-Leaving", "1");
     give_order();
-    life = birth{2000}; // the runner has restarted in the meantime
+    its_incarnation = incarnation{2000}; // the runner has restarted in the meantime
     EXPECT_TRUE(wait_until([&] { return ended == 1; }));
-    EXPECT_EQ(left, std::vector{birth{1000}});
+    EXPECT_EQ(left, std::vector{incarnation{1000}});
 
     answer.status = 421;
     give_order();
--- a/tests/fleet/runner_registry_test.cpp
+++ b/tests/fleet/runner_registry_test.cpp
@@ -31,9 +31,9 @@
     EXPECT_TRUE(registry.announce(start, heartbeat_of("i-1", "10.0.0.1:80", 5)));
 }
 
-/// Returns a heartbeat of the life of `i-1` that began at `born`.
-announcement heartbeat_of_life(std::uint64_t born, const std::string& address,
-                               std::uint64_t sequence)
+/// Returns a heartbeat of the incarnation of `i-1` that began at `born`.
+announcement heartbeat_of_incarnation(std::uint64_t born, const std::string& address,
+                                      std::uint64_t sequence)
 {
     auto out = heartbeat_of("i-1", address, sequence);
     out.born = {born};
@@ -42,21 +42,22 @@
 
 // Guards against refusing the heartbeats of a restarted runner. A runner that had sent 5,000
 // heartbeats restarted under its id at another address and received none of 20 requests per second:
-// its heartbeats, numbered from 1 again, counted as older than those of its earlier life, and the
-// registry refused all of them.
+// its heartbeats, numbered from 1 again, counted as older than those of its earlier incarnation,
+// and the registry refused all of them.
 TEST(a_runner_that_starts_again_under_its_id, is_heard_from_its_first_heartbeat_on)
 {
     runner_registry registry;
-    ASSERT_TRUE(registry.announce(start, heartbeat_of_life(1000, "10.0.0.1:80", 5000)));
+    ASSERT_TRUE(registry.announce(start, heartbeat_of_incarnation(1000, "10.0.0.1:80", 5000)));
     registry.note_alive(start, runner_id{"i-1"});
-    EXPECT_TRUE(registry.announce(start + seconds{1}, heartbeat_of_life(1001, "10.0.0.2:80", 1)));
+    EXPECT_TRUE(
+        registry.announce(start + seconds{1}, heartbeat_of_incarnation(1001, "10.0.0.2:80", 1)));
     const auto* record = registry.find(runner_id{"i-1"});
     ASSERT_NE(record, nullptr);
     EXPECT_TRUE(registry.is_present(*record));
     EXPECT_EQ(record->latest.address.str(), "10.0.0.2:80");
     EXPECT_FALSE(record->answered) << "the answer was from the earlier life";
     EXPECT_FALSE(
-        registry.announce(start + seconds{2}, heartbeat_of_life(1000, "10.0.0.1:80", 6000)))
+        registry.announce(start + seconds{2}, heartbeat_of_incarnation(1000, "10.0.0.1:80", 6000)))
         << "a heartbeat of the earlier life, regardless of its number";
     EXPECT_TRUE(registry.announce(start + seconds{3}, heartbeat_of("i-2", "10.0.0.1:80", 9)))
         << "the address that it has left is free";
@@ -67,10 +68,11 @@
 TEST(a_runner_that_starts_again_under_its_id, is_heard_although_another_one_took_its_address)
 {
     runner_registry registry;
-    registry.announce(start, heartbeat_of_life(1000, "10.0.0.1:80", 40));
+    registry.announce(start, heartbeat_of_incarnation(1000, "10.0.0.1:80", 40));
     registry.announce(start + seconds{1}, heartbeat_of("i-2", "10.0.0.1:80", 1));
     ASSERT_FALSE(is_present(registry, "i-1"));
-    EXPECT_TRUE(registry.announce(start + seconds{2}, heartbeat_of_life(2000, "10.0.0.3:80", 1)));
+    EXPECT_TRUE(
+        registry.announce(start + seconds{2}, heartbeat_of_incarnation(2000, "10.0.0.3:80", 1)));
     EXPECT_TRUE(is_present(registry, "i-1"));
 }
 
--- a/tests/quarantine/crash_witness_test.cpp
+++ b/tests/quarantine/crash_witness_test.cpp
@@ -58,8 +58,8 @@
     EXPECT_TRUE(witness.on_cut(crashing, seen)) << "the next cut needs a new check";
 }
 
-// Guards against one check proving crashes of two lives of a runner that restarts quickly.
-TEST_F(crash_witness_test, takes_a_refused_connection_as_proof_for_the_latest_life_only)
+// Guards against one check proving crashes of two incarnations of a runner that restarts quickly.
+TEST_F(crash_witness_test, takes_a_refused_connection_as_proof_for_the_latest_incarnation_only)
 {
     crash_observation seen{runner_id{"a"}, at(0), at(50), {}, request_id{"r"}, at(0)};
     EXPECT_TRUE(witness.on_cut(sound, seen));
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -199,8 +199,8 @@
 }
 
 // Guards against missed crashes of runners whose addresses accept connections all along: a
-// supervisor keeps the listening socket open, so only the heartbeat of the next life shows that the
-// runner crashed.
+// supervisor keeps the listening socket open, so only the heartbeat of the next incarnation shows
+// that the runner crashed.
 TEST_P(a_fleet_with_a_crashing_request, counts_ends_of_runners_whose_port_stays_open)
 {
     for (const auto& runner : runners) {
--- a/tests/quarantine/runner_lives_test.cpp
+++ b/tests/quarantine/runner_incarnations_test.cpp
@@ -1,7 +1,7 @@
-// Tests which cut connections are proved to be crashes by later lives of the runner.
+// Tests which cut connections are proved to be crashes by later incarnations of the runner.
 
 #include "cedarpoint/quarantine/quarantine_controller.h"
-#include "cedarpoint/quarantine/runner_lives.h"
+#include "cedarpoint/quarantine/runner_incarnations.h"
 
 #include <gtest/gtest.h>
 
@@ -10,65 +10,66 @@
 
 const runner_id runner{"a"};
 const request_fingerprint cut_request{1, 1};
-constexpr birth first{1000};
-constexpr birth second{2000};
-constexpr birth third{3000};
+constexpr incarnation first{1000};
+constexpr incarnation second{2000};
+constexpr incarnation third{3000};
 
 instant at(int ms)
 {
     return instant{} + seconds{1000} + milliseconds{ms};
 }
 
-TEST(lives_of_a_runner, prove_that_a_cut_was_a_crash_once_a_later_one_is_seen)
+TEST(incarnations_of_a_runner, prove_that_a_cut_was_a_crash_once_a_later_one_is_seen)
 {
-    runner_lives lives;
-    EXPECT_TRUE(lives.on_heard(at(0), runner, first));
-    EXPECT_FALSE(lives.on_heard(at(1000), runner, first));
-    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), std::nullopt) << "no heartbeat since the cut";
-    EXPECT_TRUE(lives.on_heard(at(2000), runner, second));
-    EXPECT_EQ(lives.life_ended_by(runner, at(1500)), first);
-
-    // A heartbeat of the same life arrived after this cut, so it was a reset.
-    EXPECT_EQ(lives.life_ended_by(runner, at(500)), std::nullopt);
-    // This cut is in the current life.
-    EXPECT_EQ(lives.life_ended_by(runner, at(2500)), std::nullopt);
-    EXPECT_EQ(lives.life_at(runner, at(2500)), second);
-    EXPECT_EQ(lives.life_at(runner, at(1500)), first);
-    EXPECT_EQ(lives.life_at(runner, at(-1)), std::nullopt);
+    runner_incarnations incarnations;
+    EXPECT_TRUE(incarnations.on_heard(at(0), runner, first));
+    EXPECT_FALSE(incarnations.on_heard(at(1000), runner, first));
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1500)), std::nullopt)
+        << "no heartbeat since the cut";
+    EXPECT_TRUE(incarnations.on_heard(at(2000), runner, second));
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1500)), first);
+
+    // A heartbeat of the same incarnation arrived after this cut, so it was a reset.
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), std::nullopt);
+    // This cut is in the current incarnation.
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(2500)), std::nullopt);
+    EXPECT_EQ(incarnations.incarnation_at(runner, at(2500)), second);
+    EXPECT_EQ(incarnations.incarnation_at(runner, at(1500)), first);
+    EXPECT_EQ(incarnations.incarnation_at(runner, at(-1)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, do_not_change_with_a_late_heartbeat_of_an_earlier_one)
+TEST(incarnations_of_a_runner, do_not_change_with_a_late_heartbeat_of_an_earlier_one)
 {
-    runner_lives lives;
-    lives.on_heard(at(0), runner, second);
-    EXPECT_FALSE(lives.on_heard(at(100), runner, first));
-    EXPECT_EQ(lives.life_at(runner, at(200)), second);
+    runner_incarnations incarnations;
+    incarnations.on_heard(at(0), runner, second);
+    EXPECT_FALSE(incarnations.on_heard(at(100), runner, first));
+    EXPECT_EQ(incarnations.incarnation_at(runner, at(200)), second);
 }
 
-TEST(lives_of_a_runner, prove_nothing_if_the_next_one_is_seen_long_after)
+TEST(incarnations_of_a_runner, prove_nothing_if_the_next_one_is_seen_long_after)
 {
-    runner_lives lives;
-    lives.on_heard(at(0), runner, first);
-    lives.on_heard(at(60'000), runner, second);
-    EXPECT_EQ(lives.life_ended_by(runner, at(1000)), std::nullopt);
+    runner_incarnations incarnations;
+    incarnations.on_heard(at(0), runner, first);
+    incarnations.on_heard(at(60'000), runner, second);
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1000)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, end_when_another_runner_starts_at_its_address)
+TEST(incarnations_of_a_runner, end_when_another_runner_starts_at_its_address)
 {
-    runner_lives lives;
-    lives.on_heard(at(0), runner, birth{});
-    lives.on_replaced(at(700), runner);
-    EXPECT_EQ(lives.life_ended_by(runner, at(500)), birth{});
-    EXPECT_EQ(lives.life_ended_by(runner, at(800)), std::nullopt);
+    runner_incarnations incarnations;
+    incarnations.on_heard(at(0), runner, incarnation{});
+    incarnations.on_replaced(at(700), runner);
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), incarnation{});
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(800)), std::nullopt);
 }
 
-TEST(lives_of_a_runner, are_known_to_a_new_leader_from_the_log)
+TEST(incarnations_of_a_runner, are_known_to_a_new_leader_from_the_log)
 {
-    runner_lives lives;
-    lives.expect(runner, first);
-    EXPECT_FALSE(lives.on_heard(at(100), runner, first)) << "the runner is in the same life";
-    EXPECT_TRUE(lives.on_heard(at(900), runner, second));
-    EXPECT_EQ(lives.life_ended_by(runner, at(500)), first);
+    runner_incarnations incarnations;
+    incarnations.expect(runner, first);
+    EXPECT_FALSE(incarnations.on_heard(at(100), runner, first)) << "the runner is in the same life";
+    EXPECT_TRUE(incarnations.on_heard(at(900), runner, second));
+    EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), first);
 }
 
 class cuts_that_wait_for_proof : public testing::Test {
@@ -96,7 +97,7 @@
     quarantine_controller controller;
 };
 
-TEST_F(cuts_that_wait_for_proof, count_as_one_crash_of_each_life)
+TEST_F(cuts_that_wait_for_proof, count_as_one_crash_of_each_incarnation)
 {
     controller.on_cuts(at(120), cut(10, 100));
     // Retries connect while the runner restarts and are cut as well, also those of other daemons.
@@ -111,7 +112,7 @@
     EXPECT_EQ(count(), 2);
 }
 
-TEST_F(cuts_that_wait_for_proof, count_also_if_they_are_reported_after_the_next_life)
+TEST_F(cuts_that_wait_for_proof, count_also_if_they_are_reported_after_the_next_incarnation)
 {
     controller.on_heard(at(150), runner, second); // the runner restarted at once
     EXPECT_EQ(controller.on_cuts(at(300), cut(10, 100)).size(), 1U);
@@ -138,7 +139,7 @@
 }
 
 // Guards against quarantining sound requests whose connections the network resets.
-TEST_F(cuts_that_wait_for_proof, do_not_count_while_the_runner_stays_in_one_life)
+TEST_F(cuts_that_wait_for_proof, do_not_count_while_the_runner_stays_in_one_incarnation)
 {
     for (int n = 0; n < 20; ++n) {
         controller.on_cuts(at(n * 100 + 60), cut(n * 100, n * 100 + 40));
--- a/tests/runner_signals/random_holds_test.cpp
+++ b/tests/runner_signals/random_holds_test.cpp
@@ -1,5 +1,5 @@
-// Checks random sequences of signals from runners, new lives, views with and without a runner, and
-// jumps in time: a runner must be held for as long as it has asked for.
+// Checks random sequences of signals from runners, new incarnations, views with and without a
+// runner, and jumps in time: a runner must be held for as long as it has asked for.
 
 #include "cedarpoint/runner_signals/send_holds.h"
 
@@ -31,7 +31,7 @@
             pass_time(milliseconds{500 + draw(29'500)}); // the machine is suspended
             break;
         case 3:
-            begin_life(any_runner());
+            begin_incarnation(any_runner());
             break;
         case 4:
             is_shown_ = show_at_ != instant::max() || draw(3) > 0;
@@ -50,11 +50,11 @@
 private:
     struct runner_facts {
         runner_id id;
-        birth life{1};
-        birth viewed{1};
-        instant paused_until;                ///< end of the pause of this life
-        instant latest_pause_end;            ///< of any life
-        bool is_leaving = false;             ///< has signalled a leave since this life is viewed
+        incarnation its_incarnation{1};
+        incarnation viewed{1};
+        instant paused_until;     ///< end of the pause of this incarnation
+        instant latest_pause_end; ///< of any incarnation
+        bool is_leaving = false;  ///< has signalled a leave since this incarnation is viewed
         std::optional<instant> absent_since; ///< from the view
     };
 
@@ -82,13 +82,13 @@
     {
         note_answer(of);
         holds_.on_leaving(now_, of.id, of.viewed);
-        of.is_leaving = of.is_leaving || of.viewed == of.life;
+        of.is_leaving = of.is_leaving || of.viewed == of.its_incarnation;
     }
 
-    /// Starts a new life, which the view contains within a second.
-    void begin_life(runner_facts& of)
+    /// Starts a new incarnation, which the view contains within a second.
+    void begin_incarnation(runner_facts& of)
     {
-        ++of.life.value;
+        ++of.its_incarnation.value;
         of.paused_until = {};
         of.is_leaving = false;
         show_at_ = std::min(show_at_, now_ + milliseconds{draw(900)});
@@ -96,17 +96,17 @@
 
     void show()
     {
-        std::map<runner_id, birth> lives;
+        std::map<runner_id, incarnation> incarnations;
         for (auto& each : runners_) {
             if (is_shown_ || each.id.str() != "i-0") {
-                each.viewed = each.life;
-                lives[each.id] = each.viewed;
+                each.viewed = each.its_incarnation;
+                incarnations[each.id] = each.viewed;
                 each.absent_since.reset();
                 continue;
             }
             each.absent_since = each.absent_since.value_or(now_);
         }
-        holds_.on_lives(now_, lives);
+        holds_.on_incarnations(now_, incarnations);
         show_at_ = instant::max();
     }
 
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -62,7 +62,7 @@
         const auto now = steady_now();
         const int sender = sender_of(request);
         arrivals.push_back({now, sender});
-        if (std::exchange(lives_, runner_.ends.size()) != runner_.ends.size()) {
+        if (std::exchange(incarnations_, runner_.ends.size()) != runner_.ends.size()) {
             asked_.clear(); // a restarted runner has not asked for a pause
         }
         if (const auto due = due_.extract(sender); !due.empty()) {
@@ -88,7 +88,7 @@
     }
 
     platform_runner& runner_;
-    std::size_t lives_ = 0; ///< lives of the runner that have ended
+    std::size_t incarnations_ = 0; ///< incarnations of the runner that have ended
     std::map<int, duration> due_;
     std::map<int, pause> asked_;
     std::size_t turn_ = 0;
