--- a/include/cedarpoint/fleet/group_placement.h
+++ b/include/cedarpoint/fleet/group_placement.h
@@ -26,8 +26,7 @@
 /// runners that can join soonest.
 ///
 /// Before the first request, groups load weights while they form. Once there is traffic, no group
-/// waits for weights: loading takes 12 s or more and blocks runners that could serve elsewhere
-/// (staging the weights instead raised the result of a measured run from 0.40 to 0.68).
+/// waits for weights: loading takes 12 s or more and blocks runners that could serve elsewhere.
 /// `weight_staging` copies weights to the hosts of free runners instead. Weights are loaded only in
 /// a domain that prefers the model.
 class group_placement {
