--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -84,7 +84,7 @@
 
 private:
     void take_configuration();
-    void take_rate_limits(instant now, const daemon_id& follower, rate_limit_sightings in);
+    void take_rate_limits(instant now, const daemon_id& follower, rate_limit_observations in);
     void add_quarantines(instant now, std::vector<planner_step>& steps);
     void take_crashes(instant now, const daemon_id& follower, crash_histories in);
     /// Passes the full crash history of each request in `reported` to `on_crashes`.
--- a/include/cedarpoint/fleet/health_report.h
+++ b/include/cedarpoint/fleet/health_report.h
@@ -39,7 +39,7 @@
     std::map<runner_id, runner_observation> runners;
     std::map<runner_id, reachability_check> checks;
     std::map<model_id, model_demand> demand;
-    rate_limit_sightings rate_limits;
+    rate_limit_observations rate_limits;
     crash_histories crashes; ///< requests during which runners crashed
     /// Requests whose connections were cut while it is not known whether the runner crashed. The
     /// leader does not count them.
--- a/include/cedarpoint/quarantine/crash_witness.h
+++ b/include/cedarpoint/quarantine/crash_detector.h
@@ -25,34 +25,34 @@
 ///
 /// Every observation must reach the leader. Each is therefore reported until the leader of the
 /// current term has answered a report that contains it, so a new leader receives them all.
-class crash_witness {
+class crash_detector {
 public:
-    crash_witness();
+    crash_detector();
 
     /// Records that a connection to a runner ended without an answer while `request` was in flight.
     /// Returns true if the caller has to check the runner's address and pass the result to
-    /// `on_checked`; false if a check of this runner is already under way.
+    /// `on_address_checked`; false if a check of this runner is already under way.
     bool on_cut(const request_fingerprint& request, crash_observation in);
     /// Takes the result of the check of a runner's address. Returns the cuts that it proves to be
     /// crashes. If they belong to several incarnations of the runner, a refused connection proves
     /// only those of the latest one.
-    crash_histories on_checked(instant now, const runner_id& runner, bool refused);
+    crash_histories on_address_checked(instant now, const runner_id& runner, bool refused);
     /// Adds the observations of another daemon, where there is no leader to combine them.
     void merge(instant now, const crash_histories& in);
     /// Records that a runner answered the request completely.
     void on_answer(instant now, const request_fingerprint& request);
     /// Replaces the counts of the leader. Drops this daemon's own observations of a request whose
     /// count has become 0.
-    void set_shared(instant now, crash_counts counts);
+    void set_leader_counts(instant now, crash_counts counts);
 
     /// Returns false while no request is suspected; then callers need not compute fingerprints to
     /// ask `is_quarantined` or `may_retry`.
-    [[nodiscard]] bool is_watching() const
+    [[nodiscard]] bool has_suspects() const
     {
         return !leader_counts_.empty() || !own_ledger_.empty() || !unchecked_.empty();
     }
     /// Returns false while no request has crashes or cuts that an answer could clear.
-    [[nodiscard]] bool needs_answers() const { return is_watching() || !cuts_.empty(); }
+    [[nodiscard]] bool needs_answers() const { return has_suspects() || !cuts_.empty(); }
     /// Returns true if the request must not be sent to any runner: by the leader's decision or,
     /// while no leader answers, also by this daemon's own observations.
     [[nodiscard]] bool is_quarantined(instant now, const request_fingerprint& request) const;
--- a/include/cedarpoint/quarantine/quarantine_controller.h
+++ b/include/cedarpoint/quarantine/quarantine_controller.h
@@ -40,7 +40,7 @@
     }
     /// Records a heartbeat of the runner in this incarnation. Returns the cuts that this proves to
     /// be crashes.
-    crash_histories on_heard(instant now, const runner_id& runner, incarnation its_incarnation);
+    crash_histories on_heartbeat(instant now, const runner_id& runner, incarnation its_incarnation);
     /// Records that another runner has started at the runner's address. Returns the cuts that this
     /// proves to be crashes.
     crash_histories on_replaced(instant now, const runner_id& runner);
--- a/include/cedarpoint/quarantine/runner_incarnations.h
+++ b/include/cedarpoint/quarantine/runner_incarnations.h
@@ -18,7 +18,7 @@
 public:
     /// Records a heartbeat of the runner in this incarnation. Returns true if the incarnation is
     /// new.
-    bool on_heard(instant now, const runner_id& runner, incarnation its_incarnation);
+    bool on_heartbeat(instant now, const runner_id& runner, incarnation its_incarnation);
     /// Records the incarnation of the runner that the replicated log holds, before its first
     /// heartbeat.
     void expect(const runner_id& runner, incarnation its_incarnation);
--- a/include/cedarpoint/rate_limits/permit_allocator.h
+++ b/include/cedarpoint/rate_limits/permit_allocator.h
@@ -29,7 +29,7 @@
 public:
     /// Drops all limits and seeds the random draws.
     void clear(std::uint64_t seed);
-    void on_report(instant now, const daemon_id& from, const rate_limit_sightings& in);
+    void on_report(instant now, const daemon_id& from, const rate_limit_observations& in);
     /// Returns the limits in force, each with the permits issued to the daemon since the previous
     /// call for it.
     [[nodiscard]] std::map<runner_id, permit_grant> take_grants(instant now, const daemon_id& to);
--- a/include/cedarpoint/rate_limits/permit_messages.h
+++ b/include/cedarpoint/rate_limits/permit_messages.h
@@ -24,7 +24,7 @@
     std::uint32_t unused = 0; ///< permits from the leader that expired unused
 };
 
-using rate_limit_sightings = std::map<runner_id, rate_limit_observation>;
+using rate_limit_observations = std::map<runner_id, rate_limit_observation>;
 
 /// The limit of one runner, and the permits that the leader grants to an entry daemon.
 struct permit_grant {
--- a/include/cedarpoint/rate_limits/send_permits.h
+++ b/include/cedarpoint/rate_limits/send_permits.h
@@ -17,7 +17,7 @@
 /// How a daemon issues permits to itself while it has no leader.
 struct own_permit_options {
     /// Fraction of a rate limit that daemons without a leader use together.
-    double used_part = 0.5;
+    double rate_fraction = 0.5;
     /// Number of daemons that share each rate; 0 while it is unknown: then no permits are issued.
     std::size_t daemons = 0;
     std::uint64_t seed = 0; ///< for the random times at which the permits are issued
@@ -29,8 +29,8 @@
 ///
 /// Permits come from the leader (`permit_allocator`). While no leader reports the limit, the daemon
 /// issues its own permits for an equal share of the rate, starting at a random time so that the
-/// daemons don't send together. They use only a part of the rate (`used_part`), because the other
-/// daemons may still have a leader that issues permits for it.
+/// daemons don't send together. They use only a part of the rate (`rate_fraction`), because the
+/// other daemons may still have a leader that issues permits for it.
 class send_permits {
 public:
     explicit send_permits(own_permit_options options) : options_{options}, random_{options.seed} {}
@@ -58,7 +58,7 @@
     [[nodiscard]] request_rate rate_of(const runner_id& runner) const;
     [[nodiscard]] std::size_t count_limited() const { return limits_.size(); }
     /// Returns the report to the leader, and resets the counts in it.
-    [[nodiscard]] rate_limit_sightings take_observations(instant now);
+    [[nodiscard]] rate_limit_observations take_observations(instant now);
 
 private:
     struct batch {
--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -3,7 +3,7 @@
 #include "cedarpoint/admission/account_limits.h"
 #include "cedarpoint/admission/wait_queue.h"
 #include "cedarpoint/config/configuration.h"
-#include "cedarpoint/quarantine/crash_witness.h"
+#include "cedarpoint/quarantine/crash_detector.h"
 #include "cedarpoint/request/actions.h"
 #include "cedarpoint/request/caller_admission.h"
 #include "cedarpoint/request/failure_rule.h"
@@ -28,7 +28,7 @@
 };
 
 /// Makes all decisions on the requests of one daemon, from arrival to the final answer. It combines
-/// `caller_admission`, `crash_witness`, `account_limits`, `wait_queue`, `router` and
+/// `caller_admission`, `crash_detector`, `account_limits`, `wait_queue`, `router` and
 /// `failure_rule`. Owns the open requests, the queues, the sessions and the accounts' usage.
 /// It does no I/O: calls take the present time and return the actions to perform, in order. The
 /// user must perform them and report the end of each attempt exactly once.
@@ -51,7 +51,7 @@
     /// Called just before the head of the response is passed to the caller.
     void attempt_answering(attempt_id attempt);
     /// Applies what the head of a response says about its runner. Returns which of it is new.
-    signal_news attempt_signals(instant now, attempt_id attempt, const answer_signals& in);
+    new_signals attempt_signals(instant now, attempt_id attempt, const answer_signals& in);
     /// Called for each whole event that is passed to the caller.
     void attempt_event(attempt_id attempt);
     /// Returns true if a 5xx response must be reported as `attempt_end::server_error` and not be
@@ -97,7 +97,7 @@
     void start_queued(instant now, actions& out);
     bool try_start(instant now, open_request& it, actions& out);
     void handle_failure(instant now, open_request& it, attempt_end how, actions& out);
-    /// Reports to the crash witness what the end of the attempt shows about its request.
+    /// Reports to the crash detector what the end of the attempt shows about its request.
     void record_attempt_end(instant now, const open_request& it, attempt_end how, actions& out);
     [[nodiscard]] bool retry_may_crash_runner(const open_request& it, attempt_end how) const;
     void give_up(const request_id& request, refusal error, actions& out);
@@ -112,7 +112,7 @@
     account_limits limits_;
     token_retry_budget budget_;
     open_requests open_;
-    crash_witness crashes_;
+    crash_detector crashes_;
     std::unordered_map<std::string, wait_queue> queues_; ///< by `admitted_call::queue_key`
     bool stopping_ = false;
 };
--- a/include/cedarpoint/routing/router.h
+++ b/include/cedarpoint/routing/router.h
@@ -89,7 +89,7 @@
     void on_end(instant now, const runner_id& upstream, bool failed);
     /// Applies the signals in a response that arrived at `now` to a request sent at `sent_at`.
     /// Returns which of them are new.
-    signal_news on_signals(instant now, const runner_id& upstream, const answer_signals& in,
+    new_signals on_signals(instant now, const runner_id& upstream, const answer_signals& in,
                            instant sent_at);
     /// Returns the number of this daemon's requests in flight at `upstream`. Those of other daemons
     /// are in `target::reported_others`.
--- a/include/cedarpoint/runner_signals/answer_signals.h
+++ b/include/cedarpoint/runner_signals/answer_signals.h
@@ -31,7 +31,7 @@
 struct answer_signals {
     /// True if a runner other than the expected one answered. Then the other members are not set,
     /// because they would not apply to the expected runner.
-    bool is_of_other_runner = false;
+    bool is_from_other_runner = false;
     rate_limit_reading rate_limit;
     pause_reading pause;
     leave_reading leave = leave_reading::absent;
@@ -42,7 +42,7 @@
 };
 
 /// Which signals of an answer were not known before.
-struct signal_news {
+struct new_signals {
     bool rate_limit = false;
     bool leave = false;
 };
--- a/include/cedarpoint/runner_signals/send_holds.h
+++ b/include/cedarpoint/runner_signals/send_holds.h
@@ -41,7 +41,7 @@
 
     /// Drops a leave. For callers that don't know the incarnations of runners: a runner that was
     /// absent may have returned in a new incarnation.
-    void forget_leave(const runner_id& runner);
+    void clear_leave(const runner_id& runner);
 
     [[nodiscard]] send_hold find(instant now, const runner_id& runner) const;
     /// Returns the end of the runner's pause; empty if it is not paused.
--- a/src/entry/entry_context.h
+++ b/src/entry/entry_context.h
@@ -5,7 +5,7 @@
 #include "cedarpoint/fleet/route_table.h"
 #include "cedarpoint/fleet/target_set.h"
 #include "cedarpoint/fleet/windowed_retry_budget.h"
-#include "cedarpoint/quarantine/crash_witness.h"
+#include "cedarpoint/quarantine/crash_detector.h"
 #include "entry/entry_metrics.h"
 #include "io/runner_pool.h"
 
@@ -29,7 +29,7 @@
     std::mt19937_64 random;
     std::map<model_id, model_demand> demand;   ///< requests since the latest report
     std::function<void()> request_report_soon; ///< sends a health report with the next tick
-    crash_witness crashes;
+    crash_detector crashes;
     /// Starts a check of whether a runner that closed a connection without an answer has
     /// terminated.
     std::function<void(const runner_id&, const endpoint&)> check_runner_end;
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -234,7 +234,7 @@
     }
     auto content = decode(view.items());
     context_.targets.update(steady_now(), content);
-    context_.crashes.set_shared(steady_now(), std::move(content.crashes));
+    context_.crashes.set_leader_counts(steady_now(), std::move(content.crashes));
     for (const auto& each : std::vector(requests_.begin(), requests_.end())) {
         each->on_targets_changed();
     }
@@ -295,7 +295,7 @@
 
 void entry_daemon::on_runner_end_checked(const runner_id& runner, bool refused)
 {
-    const auto seen = context_.crashes.on_checked(steady_now(), runner, refused);
+    const auto seen = context_.crashes.on_address_checked(steady_now(), runner, refused);
     if (seen.empty()) {
         return;
     }
--- a/src/entry/relay_quarantine.cpp
+++ b/src/entry/relay_quarantine.cpp
@@ -26,7 +26,7 @@
 
 bool relay::is_quarantined()
 {
-    return context_.crashes.is_watching() &&
+    return context_.crashes.has_suspects() &&
            context_.crashes.is_quarantined(steady_now(), fingerprint());
 }
 
@@ -35,7 +35,7 @@
     if (outcome == attempt_outcome::not_run) {
         return is_quarantined();
     }
-    return context_.crashes.is_watching() && !context_.crashes.may_retry(fingerprint());
+    return context_.crashes.has_suspects() && !context_.crashes.may_retry(fingerprint());
 }
 
 void relay::record_attempt_end(const attempt_verdict& verdict)
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -146,14 +146,14 @@
     signals_ =
         read_answer_signals({head_->status, fields.values(names.rate_limit),
                              fields.values(retry_after_field), fields.values(names.leaving)});
-    if (signals_.is_of_other_runner) {
+    if (signals_.is_from_other_runner) {
         return;
     }
     auto& holds = context_.targets.holds();
     if (signals_.asks_for_pause()) {
         holds.on_pause(now, runner_, incarnation_, signals_.pause.time);
     }
-    signal_news news;
+    new_signals news;
     news.rate_limit = record_rate_limit(now);
     news.leave =
         signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, incarnation_);
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -143,7 +143,7 @@
 void fleet_leader::note_incarnation(instant now, const announcement& in,
                                     const std::optional<runner_id>& earlier_owner)
 {
-    report_crashes(now, quarantine_.on_heard(now, in.id, in.born));
+    report_crashes(now, quarantine_.on_heartbeat(now, in.id, in.born));
     if (const auto* earlier = earlier_owner ? registry_.find(*earlier_owner) : nullptr;
         earlier != nullptr && earlier->superseded) {
         report_crashes(now, quarantine_.on_replaced(now, *earlier_owner));
@@ -255,7 +255,8 @@
     return out;
 }
 
-void fleet_leader::take_rate_limits(instant now, const daemon_id& follower, rate_limit_sightings in)
+void fleet_leader::take_rate_limits(instant now, const daemon_id& follower,
+                                    rate_limit_observations in)
 {
     // Reports on runners that are no longer in the registry are dropped, because nothing would ever
     // remove them.
--- a/src/quarantine/crash_witness.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -1,4 +1,4 @@
-#include "cedarpoint/quarantine/crash_witness.h"
+#include "cedarpoint/quarantine/crash_detector.h"
 
 #include "cedarpoint/quarantine/crash_cause.h"
 
@@ -27,9 +27,9 @@
 
 } // namespace
 
-crash_witness::crash_witness() : own_ledger_{max_requests} {}
+crash_detector::crash_detector() : own_ledger_{max_requests} {}
 
-bool crash_witness::on_cut(const request_fingerprint& request, crash_observation in)
+bool crash_detector::on_cut(const request_fingerprint& request, crash_observation in)
 {
     auto& waiting = unchecked_[in.runner];
     const bool is_first = waiting.empty();
@@ -40,7 +40,8 @@
     return is_first;
 }
 
-crash_histories crash_witness::on_checked(instant now, const runner_id& runner, bool refused)
+crash_histories crash_detector::on_address_checked(instant now, const runner_id& runner,
+                                                   bool refused)
 {
     crash_histories out;
     const auto found = unchecked_.extract(runner);
@@ -64,7 +65,7 @@
     return out;
 }
 
-void crash_witness::add_unproved_cut(instant now, unchecked_cut in)
+void crash_detector::add_unproved_cut(instant now, unchecked_cut in)
 {
     cuts_.push_back({in.request, std::move(in.crash), now});
     if (cuts_.size() > max_unproved_cuts) {
@@ -72,7 +73,7 @@
     }
 }
 
-bool crash_witness::drop_cuts(const request_fingerprint& request)
+bool crash_detector::drop_cuts(const request_fingerprint& request)
 {
     bool was_reported = false;
     std::erase_if(cuts_, [&](const auto& each) {
@@ -82,7 +83,7 @@
     return was_reported;
 }
 
-crash_histories crash_witness::unconfirmed_cuts(instant now)
+crash_histories crash_detector::unconfirmed_cuts(instant now)
 {
     std::erase_if(cuts_,
                   [&](const auto& each) { return now - each.crash.ended_at > max_unproved_age; });
@@ -96,7 +97,7 @@
     return out;
 }
 
-void crash_witness::merge(instant now, const crash_histories& in)
+void crash_detector::merge(instant now, const crash_histories& in)
 {
     for (const auto& [request, history] : in) {
         own_ledger_.merge(request, history);
@@ -104,7 +105,7 @@
     }
 }
 
-void crash_witness::on_answer(instant now, const request_fingerprint& request)
+void crash_detector::on_answer(instant now, const request_fingerprint& request)
 {
     const bool was_reported = drop_cuts(request);
     if (!was_reported && own_ledger_.find(request) == nullptr &&
@@ -115,7 +116,7 @@
     note_change(now, request);
 }
 
-void crash_witness::note_change(instant now, const request_fingerprint& request)
+void crash_detector::note_change(instant now, const request_fingerprint& request)
 {
     changed_at_[request] = now;
     std::erase_if(changed_at_,
@@ -123,7 +124,7 @@
     own_causes_ = find_crash_causes(own_ledger_, quarantined_);
 }
 
-void crash_witness::set_shared(instant now, crash_counts counts)
+void crash_detector::set_leader_counts(instant now, crash_counts counts)
 {
     for (const auto& [request, crashes] : counts) {
         const auto before = leader_counts_.find(request);
@@ -142,20 +143,20 @@
     own_causes_ = find_crash_causes(own_ledger_, quarantined_);
 }
 
-int crash_witness::count(const request_fingerprint& request) const
+int crash_detector::count(const request_fingerprint& request) const
 {
     const auto leader_count = leader_counts_.find(request);
     return std::max(leader_count == leader_counts_.end() ? 0 : leader_count->second,
                     own_ledger_.count(request, quarantined_));
 }
 
-bool crash_witness::is_quarantined(instant now, const request_fingerprint& request) const
+bool crash_detector::is_quarantined(instant now, const request_fingerprint& request) const
 {
     const bool is_alone = !answered_report_at_ || now - *answered_report_at_ > leader_timeout;
     return quarantined_.contains(request) || (is_alone && own_causes_.contains(request));
 }
 
-bool crash_witness::may_retry(const request_fingerprint& request) const
+bool crash_detector::may_retry(const request_fingerprint& request) const
 {
     const int crashes = count(request);
     if (crashes == 0) {
@@ -169,7 +170,7 @@
     return crashes + unchecked < crashes_to_stop_retries;
 }
 
-crash_histories crash_witness::unconfirmed() const
+crash_histories crash_detector::unconfirmed() const
 {
     crash_histories out;
     for (const auto& [request, at] : changed_at_) {
@@ -180,7 +181,7 @@
     return out;
 }
 
-void crash_witness::on_confirmed(instant now, std::uint64_t term, instant asked_at)
+void crash_detector::on_confirmed(instant now, std::uint64_t term, instant asked_at)
 {
     // The time of the report, because the answer may have been read late, after the machine was
     // suspended.
--- a/src/quarantine/quarantine_controller.cpp
+++ b/src/quarantine/quarantine_controller.cpp
@@ -50,11 +50,11 @@
     return take_proved(now);
 }
 
-crash_histories quarantine_controller::on_heard(instant now, const runner_id& runner,
-                                                incarnation its_incarnation)
+crash_histories quarantine_controller::on_heartbeat(instant now, const runner_id& runner,
+                                                    incarnation its_incarnation)
 {
-    return incarnations_.on_heard(now, runner, its_incarnation) ? take_proved(now)
-                                                                : crash_histories{};
+    return incarnations_.on_heartbeat(now, runner, its_incarnation) ? take_proved(now)
+                                                                    : crash_histories{};
 }
 
 crash_histories quarantine_controller::on_replaced(instant now, const runner_id& runner)
--- a/src/quarantine/runner_incarnations.cpp
+++ b/src/quarantine/runner_incarnations.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-bool runner_incarnations::on_heard(instant now, const runner_id& runner,
-                                   incarnation its_incarnation)
+bool runner_incarnations::on_heartbeat(instant now, const runner_id& runner,
+                                       incarnation its_incarnation)
 {
     auto& own = runners_[runner];
     own.replaced_at.reset();
--- a/src/rate_limits/permit_allocator.cpp
+++ b/src/rate_limits/permit_allocator.cpp
@@ -52,7 +52,8 @@
     random_.seed(seed);
 }
 
-void permit_allocator::on_report(instant now, const daemon_id& from, const rate_limit_sightings& in)
+void permit_allocator::on_report(instant now, const daemon_id& from,
+                                 const rate_limit_observations& in)
 {
     for (const auto& [runner, seen] : in) {
         auto found = limits_.find(runner);
--- a/src/rate_limits/send_permits.cpp
+++ b/src/rate_limits/send_permits.cpp
@@ -116,9 +116,9 @@
     return own.record.named_at() ? own.record.rate() : own.leader_rate.value_or(request_rate{});
 }
 
-rate_limit_sightings send_permits::take_observations(instant now)
+rate_limit_observations send_permits::take_observations(instant now)
 {
-    rate_limit_sightings out;
+    rate_limit_observations out;
     for (auto& [runner, own] : limits_) {
         auto& seen = out[runner];
         if (const auto at = own.record.named_at()) {
@@ -140,7 +140,7 @@
 
 duration send_permits::own_permit_interval(instant now, const limit& of) const
 {
-    const auto rate = of.record.allowed(now).per_second * options_.used_part;
+    const auto rate = of.record.allowed(now).per_second * options_.rate_fraction;
     const auto seconds = static_cast<double>(options_.daemons) / rate;
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>{seconds});
 }
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -188,7 +188,7 @@
     }
 }
 
-signal_news dispatcher::attempt_signals(instant now, attempt_id attempt, const answer_signals& in)
+new_signals dispatcher::attempt_signals(instant now, attempt_id attempt, const answer_signals& in)
 {
     auto* it = open_.find_attempt(attempt);
     if (it == nullptr) {
@@ -284,7 +284,7 @@
 
 crash_histories dispatcher::runner_checked(instant now, const runner_id& runner, bool refused)
 {
-    return crashes_.on_checked(now, runner, refused);
+    return crashes_.on_address_checked(now, runner, refused);
 }
 
 actions dispatcher::caller_gone(instant now, const request_id& request)
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -129,15 +129,15 @@
     targets_ = std::move(all);
     for (const auto& it : targets_) {
         if (!it.present) {
-            holds_.forget_leave(it.upstream);
+            holds_.clear_leave(it.upstream);
         }
     }
 }
 
-signal_news router::on_signals(instant now, const runner_id& upstream, const answer_signals& in,
+new_signals router::on_signals(instant now, const runner_id& upstream, const answer_signals& in,
                                instant sent_at)
 {
-    if (in.is_of_other_runner) {
+    if (in.is_from_other_runner) {
         return {};
     }
     if (in.asks_for_pause()) {
--- a/src/runner_signals/answer_signals.cpp
+++ b/src/runner_signals/answer_signals.cpp
@@ -30,7 +30,7 @@
 {
     answer_signals out;
     if (in.status == http_status::misdirected_request) {
-        out.is_of_other_runner = true;
+        out.is_from_other_runner = true;
         return out;
     }
     out.rate_limit = read_rate_limit(in.rate_limit);
--- a/src/runner_signals/send_holds.cpp
+++ b/src/runner_signals/send_holds.cpp
@@ -88,7 +88,7 @@
     return now >= in.paused_until && (!in.leaving || has_ended);
 }
 
-void send_holds::forget_leave(const runner_id& runner)
+void send_holds::clear_leave(const runner_id& runner)
 {
     if (const auto found = holds_.find(runner); found != holds_.end()) {
         found->second.leaving = false;
--- a/tests/quarantine/runner_incarnations_test.cpp
+++ b/tests/quarantine/runner_incarnations_test.cpp
@@ -22,11 +22,11 @@
 TEST(incarnations_of_a_runner, prove_that_a_cut_was_a_crash_once_a_later_one_is_seen)
 {
     runner_incarnations incarnations;
-    EXPECT_TRUE(incarnations.on_heard(at(0), runner, first));
-    EXPECT_FALSE(incarnations.on_heard(at(1000), runner, first));
+    EXPECT_TRUE(incarnations.on_heartbeat(at(0), runner, first));
+    EXPECT_FALSE(incarnations.on_heartbeat(at(1000), runner, first));
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1500)), std::nullopt)
         << "no heartbeat since the cut";
-    EXPECT_TRUE(incarnations.on_heard(at(2000), runner, second));
+    EXPECT_TRUE(incarnations.on_heartbeat(at(2000), runner, second));
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1500)), first);
 
     // A heartbeat of the same incarnation arrived after this cut, so it was a reset.
@@ -41,23 +41,23 @@
 TEST(incarnations_of_a_runner, do_not_change_with_a_late_heartbeat_of_an_earlier_one)
 {
     runner_incarnations incarnations;
-    incarnations.on_heard(at(0), runner, second);
-    EXPECT_FALSE(incarnations.on_heard(at(100), runner, first));
+    incarnations.on_heartbeat(at(0), runner, second);
+    EXPECT_FALSE(incarnations.on_heartbeat(at(100), runner, first));
     EXPECT_EQ(incarnations.incarnation_at(runner, at(200)), second);
 }
 
 TEST(incarnations_of_a_runner, prove_nothing_if_the_next_one_is_seen_long_after)
 {
     runner_incarnations incarnations;
-    incarnations.on_heard(at(0), runner, first);
-    incarnations.on_heard(at(60'000), runner, second);
+    incarnations.on_heartbeat(at(0), runner, first);
+    incarnations.on_heartbeat(at(60'000), runner, second);
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(1000)), std::nullopt);
 }
 
 TEST(incarnations_of_a_runner, end_when_another_runner_starts_at_its_address)
 {
     runner_incarnations incarnations;
-    incarnations.on_heard(at(0), runner, incarnation{});
+    incarnations.on_heartbeat(at(0), runner, incarnation{});
     incarnations.on_replaced(at(700), runner);
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), incarnation{});
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(800)), std::nullopt);
@@ -67,14 +67,15 @@
 {
     runner_incarnations incarnations;
     incarnations.expect(runner, first);
-    EXPECT_FALSE(incarnations.on_heard(at(100), runner, first)) << "the runner is in the same life";
-    EXPECT_TRUE(incarnations.on_heard(at(900), runner, second));
+    EXPECT_FALSE(incarnations.on_heartbeat(at(100), runner, first))
+        << "the runner is in the same life";
+    EXPECT_TRUE(incarnations.on_heartbeat(at(900), runner, second));
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), first);
 }
 
 class cuts_that_wait_for_proof : public testing::Test {
 protected:
-    cuts_that_wait_for_proof() { controller.on_heard(at(0), runner, first); }
+    cuts_that_wait_for_proof() { controller.on_heartbeat(at(0), runner, first); }
 
     static crash_histories cut(int connected_ms, int ended_ms, const char* daemon = "d-1")
     {
@@ -104,17 +105,17 @@
     controller.on_cuts(at(220), cut(150, 200));
     controller.on_cuts(at(320), cut(250, 300, "d-2"));
     EXPECT_EQ(count(), 0);
-    EXPECT_EQ(controller.on_heard(at(600), runner, second).size(), 1U);
+    EXPECT_EQ(controller.on_heartbeat(at(600), runner, second).size(), 1U);
     EXPECT_EQ(count(), 1);
 
     controller.on_cuts(at(720), cut(650, 700, "d-2"));
-    controller.on_heard(at(1200), runner, third);
+    controller.on_heartbeat(at(1200), runner, third);
     EXPECT_EQ(count(), 2);
 }
 
 TEST_F(cuts_that_wait_for_proof, count_also_if_they_are_reported_after_the_next_incarnation)
 {
-    controller.on_heard(at(150), runner, second); // the runner restarted at once
+    controller.on_heartbeat(at(150), runner, second); // the runner restarted at once
     EXPECT_EQ(controller.on_cuts(at(300), cut(10, 100)).size(), 1U);
     EXPECT_EQ(count(), 1);
 }
@@ -124,7 +125,7 @@
     auto refused = cut(10, 100);
     controller.on_report(refused);
     controller.on_cuts(at(400), cut(150, 200, "d-2"));
-    controller.on_heard(at(600), runner, second);
+    controller.on_heartbeat(at(600), runner, second);
     EXPECT_EQ(count(), 1);
 }
 
@@ -134,7 +135,7 @@
     crash_histories answer;
     answer[cut_request].answered_at = at(300);
     controller.on_report(answer);
-    controller.on_heard(at(600), runner, second);
+    controller.on_heartbeat(at(600), runner, second);
     EXPECT_EQ(count(), 0);
 }
 
@@ -143,18 +144,18 @@
 {
     for (int n = 0; n < 20; ++n) {
         controller.on_cuts(at(n * 100 + 60), cut(n * 100, n * 100 + 40));
-        controller.on_heard(at(n * 100 + 99), runner, first);
+        controller.on_heartbeat(at(n * 100 + 99), runner, first);
     }
-    controller.on_heard(at(5000), runner, second);
+    controller.on_heartbeat(at(5000), runner, second);
     EXPECT_EQ(count(), 0);
 }
 
 TEST_F(cuts_that_wait_for_proof, count_once_when_they_are_reported_again)
 {
     controller.on_cuts(at(120), cut(10, 100));
-    controller.on_heard(at(600), runner, second);
+    controller.on_heartbeat(at(600), runner, second);
     controller.on_cuts(at(620), cut(10, 100));
-    controller.on_heard(at(700), runner, second);
+    controller.on_heartbeat(at(700), runner, second);
     EXPECT_EQ(count(), 1);
 }
 
@@ -163,7 +164,7 @@
     for (int n = 0; n < 5000; ++n) {
         controller.on_cuts(at(n), cut(n, n + 1));
     }
-    controller.on_heard(at(6000), runner, second);
+    controller.on_heartbeat(at(6000), runner, second);
     EXPECT_LE(count(), 2);
 }
 
--- a/tests/rate_limits/permit_division_test.cpp
+++ b/tests/rate_limits/permit_division_test.cpp
@@ -97,7 +97,7 @@
         instant next_report;
         std::optional<instant> answer_due;
         instant asked_at;
-        rate_limit_sightings report;
+        rate_limit_observations report;
     };
 
     static rate_limit_reading named(double rate)
--- a/tests/request/dispatcher_scenario_test.cpp
+++ b/tests/request/dispatcher_scenario_test.cpp
@@ -276,7 +276,7 @@
 
     configuration config_;
     dispatcher it_{failure_domain_id{"home"},
-                   {.permits = {.used_part = 0.75, .daemons = 2, .seed = 1}}};
+                   {.permits = {.rate_fraction = 0.75, .daemons = 2, .seed = 1}}};
     instant now_{};
 };
 
--- a/tests/runner_signals/answer_signals_test.cpp
+++ b/tests/runner_signals/answer_signals_test.cpp
@@ -78,7 +78,7 @@
 TEST(an_answer_of_another_runner, sets_no_signals_of_the_expected_one)
 {
     const auto read = read_answer_signals({421, {"1"}, {"3"}, {"1"}});
-    EXPECT_TRUE(read.is_of_other_runner);
+    EXPECT_TRUE(read.is_from_other_runner);
     EXPECT_FALSE(read.asks_for_pause());
     EXPECT_EQ(read.leave, leave_reading::absent);
     EXPECT_EQ(read.rate_limit.kind, rate_limit_reading::kind_t::absent);
