--- a/include/cedarpoint/fleet/answer_verdict.h
+++ b/include/cedarpoint/fleet/answer_verdict.h
@@ -9,7 +9,7 @@
 /// Properties of a runner's complete answer.
 struct answer_facts {
     int status = 0;
-    bool disclaims = false;         ///< the runner states that it did not run the request
+    bool reports_not_executed = false; ///< the runner states that it did not run the request
     bool is_authentic = false;      ///< has this request's id and a runner's signature; not encoded
     bool caller_has_events = false; ///< the caller has already received part of a stream
     bool asks_for_pause = false;    ///< the runner is healthy and asks for no requests for a while
--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -44,7 +44,7 @@
     /// `refused`: the address refused the connection.
     void on_probe_failed(const runner_id& runner, bool refused);
     /// Records that another runner answered at the runner's address.
-    void on_other_runner(const runner_id& runner);
+    void on_other_runner_answered(const runner_id& runner);
     void on_order_result(instant now, const group_order& order, order_result result);
     /// Records that the runner has announced in an answer that it is leaving. `its_incarnation` is
     /// the incarnation that answered; 0 if not known. Has the same effect as the runner's own
@@ -75,7 +75,7 @@
     /// Called when an entry daemon has reported a request during which runners ended.
     std::function<void(instant now, const request_fingerprint&, const crash_history&)> on_crashes;
     /// Called when a runner starts to drain because it announced in an answer that it is leaving.
-    std::function<void(const runner_id&)> on_leave_heard;
+    std::function<void(const runner_id&)> on_leave_signal;
     /// Called when a request is to be quarantined.
     std::function<void(instant now, const quarantine_order&)> on_quarantine;
     /// Processes the lifting of a request's quarantine by an operator, after it is committed to the
--- a/include/cedarpoint/fleet/group_placement.h
+++ b/include/cedarpoint/fleet/group_placement.h
@@ -2,8 +2,8 @@
 
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/core/time.h"
-#include "cedarpoint/fleet/load_limiter.h"
 #include "cedarpoint/fleet/placement_snapshot.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 
 #include <cstddef>
 #include <optional>
@@ -34,7 +34,7 @@
     /// Returns the group with the lowest cost that fits and may load its weights now; empty if
     /// there is none.
     [[nodiscard]] static std::optional<proposed_group>
-    propose(instant now, const placement_snapshot& in, const load_limiter& loads);
+    propose(instant now, const placement_snapshot& in, const weight_load_limiter& loads);
 
 private:
     [[nodiscard]] static std::optional<proposed_group> propose_in(const placement_snapshot& in,
--- a/include/cedarpoint/fleet/group_planner.h
+++ b/include/cedarpoint/fleet/group_planner.h
@@ -11,11 +11,11 @@
 #include "cedarpoint/fleet/group_plan.h"
 #include "cedarpoint/fleet/health_reports.h"
 #include "cedarpoint/fleet/leader_recovery.h"
-#include "cedarpoint/fleet/load_limiter.h"
 #include "cedarpoint/fleet/placement_snapshot.h"
 #include "cedarpoint/fleet/planner_options.h"
 #include "cedarpoint/fleet/planner_outbox.h"
 #include "cedarpoint/fleet/runner_registry.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 #include "cedarpoint/fleet/weight_staging.h"
 #include "cedarpoint/fleet/work_average.h"
 
@@ -95,7 +95,7 @@
     failure_detector detector_;
     group_lifecycle lifecycle_;
     leader_recovery recovery_;
-    load_limiter loads_;
+    weight_load_limiter loads_;
     weight_staging staging_;
     group_conversion conversions_;
     work_average work_;
--- a/include/cedarpoint/fleet/health_reports.h
+++ b/include/cedarpoint/fleet/health_reports.h
@@ -32,12 +32,12 @@
     [[nodiscard]] runner_health health_of(instant now, const runner_id& runner) const;
     /// Returns true if every entry daemon with a current report has tried to connect to the runner
     /// at or after `since` and failed. False if there is no current report.
-    [[nodiscard]] bool is_unreachable_to_all(instant now, instant since,
-                                             const runner_id& runner) const;
+    [[nodiscard]] bool is_unreachable_from_all(instant now, instant since,
+                                               const runner_id& runner) const;
     /// Returns the requests in flight at each runner, by the reports of all entry daemons but
     /// `excluded`.
-    [[nodiscard]] std::map<runner_id, int> loads_without(instant now,
-                                                         const daemon_id& excluded) const;
+    [[nodiscard]] std::map<runner_id, int> loads_excluding(instant now,
+                                                           const daemon_id& excluded) const;
     /// Returns the number of entry daemons that share the fleet's limits: those with a recent
     /// report.
     [[nodiscard]] std::size_t count_followers(instant now) const;
--- a/include/cedarpoint/fleet/latency_tracker.h
+++ b/include/cedarpoint/fleet/latency_tracker.h
@@ -20,7 +20,7 @@
     /// Returns the runners among `peers` that are clearly slower than their median, each with the
     /// factor. It is rounded to a power of two, so that it rarely changes.
     [[nodiscard]] std::map<runner_id, std::uint32_t>
-    slow_among(instant now, const std::vector<runner_id>& peers) const;
+    slow_runners(instant now, const std::vector<runner_id>& peers) const;
     void clear() { means_.clear(); }
 
 private:
--- a/include/cedarpoint/fleet/request_admission.h
+++ b/include/cedarpoint/fleet/request_admission.h
@@ -12,10 +12,10 @@
 /// The parts of a caller's request that admission depends on.
 struct admission_request {
     std::string_view host;
-    std::string_view target;              ///< path and optional query
-    std::string_view authorization;       ///< header value; empty if there is none
-    std::string_view model;               ///< header value; empty if there is none
-    std::optional<milliseconds> patience; ///< caller's time limit for the answer
+    std::string_view target;                    ///< path and optional query
+    std::string_view authorization;             ///< header value; empty if there is none
+    std::string_view model;                     ///< header value; empty if there is none
+    std::optional<milliseconds> caller_timeout; ///< caller's time limit for the answer
 };
 
 /// Why a request is refused before a runner is chosen.
--- a/include/cedarpoint/fleet/retry_policy.h
+++ b/include/cedarpoint/fleet/retry_policy.h
@@ -78,7 +78,7 @@
 };
 
 /// State of a request that gets no further attempt.
-struct give_up_facts {
+struct final_answer_facts {
     bool has_begun = false;   ///< the caller has received part of a stream
     bool has_failure = false; ///< a runner has given a complete answer with an error status
     int failure_status = 0;   ///< status of that answer
@@ -93,6 +93,6 @@
            status == http_status::service_unavailable;
 }
 
-[[nodiscard]] final_answer choose_final_answer(const give_up_facts& facts);
+[[nodiscard]] final_answer choose_final_answer(const final_answer_facts& facts);
 
 } // namespace cedarpoint
--- a/include/cedarpoint/fleet/stall_rule.h
+++ b/include/cedarpoint/fleet/stall_rule.h
@@ -20,13 +20,13 @@
 
 /// Returns how long to wait for the first event after the request was sent. `target_latency` is the
 /// route's target for this time.
-[[nodiscard]] constexpr milliseconds first_event_limit(milliseconds target_latency)
+[[nodiscard]] constexpr milliseconds first_event_timeout(milliseconds target_latency)
 {
     return std::max(min_first_event_limit, limit_to_target_ratio * target_latency);
 }
 
 /// Returns how long to wait for the next event. `target_gap` is the route's target for this time.
-[[nodiscard]] constexpr milliseconds event_pause_limit(milliseconds target_gap)
+[[nodiscard]] constexpr milliseconds event_gap_timeout(milliseconds target_gap)
 {
     return std::max(min_event_pause_limit, limit_to_target_ratio * target_gap);
 }
--- a/include/cedarpoint/fleet/load_limiter.h
+++ b/include/cedarpoint/fleet/weight_load_limiter.h
@@ -10,7 +10,7 @@
 /// Limits the rate at which loads from the weight store begin and the number that run concurrently.
 /// Keeps the rule CEILING (docs/RULES-KEPT.md): the store's published rate applies to all runners
 /// together.
-class load_limiter {
+class weight_load_limiter {
 public:
     void set_limits(double per_second, int max_concurrent);
     /// If true, neither limit applies. Loads that begin before the first request are short, and the
--- a/include/cedarpoint/fleet/weight_staging.h
+++ b/include/cedarpoint/fleet/weight_staging.h
@@ -4,9 +4,9 @@
 #include "cedarpoint/core/time.h"
 #include "cedarpoint/fleet/fleet_configuration.h"
 #include "cedarpoint/fleet/group_order.h"
-#include "cedarpoint/fleet/load_limiter.h"
 #include "cedarpoint/fleet/placement_snapshot.h"
 #include "cedarpoint/fleet/runner_registry.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 
 #include <cstddef>
 #include <map>
@@ -52,7 +52,7 @@
 
     /// Returns the orders to give now, and records them as in progress and as begun in `loads`.
     [[nodiscard]] std::vector<staging_order> plan(instant now, const placement_snapshot& in,
-                                                  load_limiter& loads);
+                                                  weight_load_limiter& loads);
 
     [[nodiscard]] ready_counts count_ready(const runner_list& runners,
                                            const engine_model& model) const;
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -128,7 +128,7 @@
         log_->propose(now, step.command, {});
     }
     else {
-        orders_->carry_out(step);
+        orders_->execute_step(step);
     }
 }
 
@@ -248,7 +248,7 @@
     // The event keeps the name that it had before probes were called so: operators search for it.
     log_line("look_failed").with("runner", runner.str()).with("how", name_of(how)).write();
     if (how == probe_failure::other_runner) {
-        leader_.on_other_runner(runner);
+        leader_.on_other_runner_answered(runner);
     }
     else {
         leader_.on_probe_failed(runner, how == probe_failure::refused);
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -111,7 +111,7 @@
     leader_.set_event_handler(log_group);
     leader_.on_unreadable_configuration = log_unreadable;
     leader_.on_crashes = log_crashes;
-    leader_.on_leave_heard = [](const runner_id& runner) {
+    leader_.on_leave_signal = [](const runner_id& runner) {
         log_line("runner_leaving").with("runner", runner.str()).write();
     };
     leader_.on_quarantine = log_quarantine;
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -83,7 +83,7 @@
     return out + "\r\n" + body;
 }
 
-void runner_orders::carry_out(const planner_step& step)
+void runner_orders::execute_step(const planner_step& step)
 {
     const auto its_incarnation = hooks_.incarnation_of(step.order.to);
     holds_.on_incarnation(steady_now(), step.order.to, its_incarnation);
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -47,7 +47,7 @@
 
     /// Sends an order or a probe. Drops the step while the runner has asked this daemon for a
     /// pause; the planner repeats it.
-    void carry_out(const planner_step& step);
+    void execute_step(const planner_step& step);
     /// Cancels all calls without a report, since this process may no longer give orders.
     void cancel_all();
 
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -143,7 +143,7 @@
     in.target = request_.target;
     in.authorization = fields.get("Authorization");
     in.model = fields.get(names.model);
-    in.patience = parse_milliseconds(fields.get(names.deadline_ms));
+    in.caller_timeout = parse_milliseconds(fields.get(names.deadline_ms));
     admission_ = admit(arrived_, routes_.get(), in, draw(context_.random));
     if (admission_.refusal != admission_refusal::none) {
         answer(local_reply_for(admission_.refusal), "");
@@ -215,8 +215,8 @@
     out.continues_stream = stream_begun_;
     out.longest_idle =
         is_repeatable(facts_) ? longest_idle_if_repeatable : longest_idle_if_not_repeatable;
-    out.first_event_limit = first_event_limit(route.target_latency);
-    out.event_pause_limit = event_pause_limit(route.target_gap);
+    out.first_event_timeout = first_event_timeout(route.target_latency);
+    out.event_gap_timeout = event_gap_timeout(route.target_gap);
     return out;
 }
 
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -38,7 +38,7 @@
 
 void relay::give_up(const std::string& why)
 {
-    give_up_facts known;
+    final_answer_facts known;
     known.has_begun = stream_begun_;
     known.has_failure = failed_answer_head_.has_value();
     known.failure_status = failed_answer_head_ ? failed_answer_head_->status : 0;
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -117,7 +117,7 @@
     connected_at_ = connection_->connected_at();
     count_held_send(*sent_at_);
     if (options_.expects_stream) {
-        arm_stall_timer(options_.first_event_limit);
+        arm_stall_timer(options_.first_event_timeout);
     }
     handlers_.on_sent();
 }
@@ -210,7 +210,7 @@
         context_.targets.on_wait(runner_, now - *latest_event_at_);
     }
     latest_event_at_ = now;
-    arm_stall_timer(options_.event_pause_limit);
+    arm_stall_timer(options_.event_gap_timeout);
 }
 
 void runner_attempt::arm_stall_timer(milliseconds limit)
@@ -250,7 +250,7 @@
     }
     answer_facts facts;
     facts.status = head_->status;
-    facts.disclaims = head_->fields.has(context_.platform.headers().not_executed);
+    facts.reports_not_executed = head_->fields.has(context_.platform.headers().not_executed);
     facts.is_authentic = is_authentic(*head_);
     facts.caller_has_events = options_.continues_stream;
     facts.asks_for_pause = signals_.asks_for_pause();
--- a/src/entry/runner_attempt.h
+++ b/src/entry/runner_attempt.h
@@ -27,13 +27,13 @@
     struct options {
         /// Builds head and body once the connection is open, since the head states the time left.
         std::function<std::string()> make_request;
-        std::string id;                    ///< request id, which an authentic answer echoes
-        bool head_only = false;            ///< the answer has no body
-        bool expects_stream = false;       ///< a stream of events is a valid answer
-        bool continues_stream = false;     ///< the caller has part of the stream already
-        milliseconds longest_idle{0};      ///< maximum idle time of a reused connection
-        milliseconds first_event_limit{0}; ///< see `stall_rule.h`
-        milliseconds event_pause_limit{0};
+        std::string id;                      ///< request id, which an authentic answer echoes
+        bool head_only = false;              ///< the answer has no body
+        bool expects_stream = false;         ///< a stream of events is a valid answer
+        bool continues_stream = false;       ///< the caller has part of the stream already
+        milliseconds longest_idle{0};        ///< maximum idle time of a reused connection
+        milliseconds first_event_timeout{0}; ///< see `stall_rule.h`
+        milliseconds event_gap_timeout{0};
     };
     /// None is called after `on_end` or `cancel`.
     struct handlers {
--- a/src/fleet/answer_verdict.cpp
+++ b/src/fleet/answer_verdict.cpp
@@ -30,7 +30,7 @@
 
 attempt_verdict judge_answer(const answer_facts& in)
 {
-    if (in.disclaims || in.status == http_status::misdirected_request) {
+    if (in.reports_not_executed || in.status == http_status::misdirected_request) {
         return {attempt_outcome::not_run, effect_of_failure(in),
                 fmt::format("status {} not executed", in.status)};
     }
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -132,7 +132,7 @@
     for (const auto& [member, at] : group.answered) {
         since = std::max(since, at);
     }
-    return reports_.is_unreachable_to_all(now, since, group.head());
+    return reports_.is_unreachable_from_all(now, since, group.head());
 }
 
 } // namespace cedarpoint
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -161,7 +161,7 @@
     planner_.on_probe_failed(runner, refused);
 }
 
-void fleet_leader::on_other_runner(const runner_id& runner)
+void fleet_leader::on_other_runner_answered(const runner_id& runner)
 {
     registry_.note_dead(runner);
 }
@@ -182,8 +182,8 @@
         return;
     }
     records_.push_back(make_record(fleet_state::depart(runner, false, departed_incarnation)));
-    if (on_leave_heard) {
-        on_leave_heard(runner);
+    if (on_leave_signal) {
+        on_leave_signal(runner);
     }
 }
 
@@ -249,7 +249,7 @@
     const auto confirmed = in.term() == term_ ? in.version() : 0;
     const auto from = followers_.on_report(now, follower, confirmed, in.behind(), view_.version());
     auto out = make_update(now, from);
-    encode_loads(reports_.loads_without(now, follower), out);
+    encode_loads(reports_.loads_excluding(now, follower), out);
     out.set_stamp_us(in.stamp_us());
     encode_grants(rate_limits_.take_grants(now, follower), out);
     return out;
--- a/src/fleet/group_placement.cpp
+++ b/src/fleet/group_placement.cpp
@@ -179,7 +179,7 @@
 }
 
 std::optional<proposed_group> group_placement::propose(instant now, const placement_snapshot& in,
-                                                       const load_limiter& loads)
+                                                       const weight_load_limiter& loads)
 {
     std::optional<proposed_group> best;
     for (const auto& [domain, runners] : in.free) {
--- a/src/fleet/health_reports.cpp
+++ b/src/fleet/health_reports.cpp
@@ -90,8 +90,8 @@
     return out;
 }
 
-bool health_reports::is_unreachable_to_all(instant now, instant since,
-                                           const runner_id& runner) const
+bool health_reports::is_unreachable_from_all(instant now, instant since,
+                                             const runner_id& runner) const
 {
     bool tried = false;
     for (const auto& [follower, own] : entries_) {
@@ -109,7 +109,8 @@
     return tried;
 }
 
-std::map<runner_id, int> health_reports::loads_without(instant now, const daemon_id& excluded) const
+std::map<runner_id, int> health_reports::loads_excluding(instant now,
+                                                         const daemon_id& excluded) const
 {
     std::map<runner_id, int> out;
     for (const auto& [follower, own] : entries_) {
--- a/src/fleet/latency_tracker.cpp
+++ b/src/fleet/latency_tracker.cpp
@@ -64,7 +64,7 @@
 }
 
 std::map<runner_id, std::uint32_t>
-latency_tracker::slow_among(instant now, const std::vector<runner_id>& peers) const
+latency_tracker::slow_runners(instant now, const std::vector<runner_id>& peers) const
 {
     std::vector<std::pair<runner_id, double>> waits_us;
     std::vector<double> values;
--- a/src/fleet/request_admission.cpp
+++ b/src/fleet/request_admission.cpp
@@ -50,7 +50,8 @@
     if (service != nullptr && service->engine) {
         out.model = model_id{std::string{in.model}};
     }
-    const auto limit = in.patience ? std::max(*in.patience, milliseconds{0}) : out.route->timeout;
+    const auto limit =
+        in.caller_timeout ? std::max(*in.caller_timeout, milliseconds{0}) : out.route->timeout;
     out.deadline = now + std::min(out.route->timeout, limit);
     return out;
 }
--- a/src/fleet/retry_policy.cpp
+++ b/src/fleet/retry_policy.cpp
@@ -9,7 +9,7 @@
     return names.at(static_cast<std::size_t>(outcome));
 }
 
-final_answer choose_final_answer(const give_up_facts& facts)
+final_answer choose_final_answer(const final_answer_facts& facts)
 {
     if (facts.has_begun) {
         return final_answer::break_off;
--- a/src/fleet/view_builder.cpp
+++ b/src/fleet/view_builder.cpp
@@ -105,7 +105,7 @@
     for (const auto& peer : peers) {
         out.runners[peer].suspected = reports_.health_of(now, peer).stalled;
     }
-    for (const auto& [peer, slowness] : reports_.latencies().slow_among(now, peers)) {
+    for (const auto& [peer, slowness] : reports_.latencies().slow_runners(now, peers)) {
         out.runners[peer].slowness = static_cast<int>(slowness);
     }
 }
--- a/src/fleet/load_limiter.cpp
+++ b/src/fleet/weight_load_limiter.cpp
@@ -1,4 +1,4 @@
-#include "cedarpoint/fleet/load_limiter.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,19 +16,19 @@
 
 } // namespace
 
-void load_limiter::set_limits(double per_second, int max_concurrent)
+void weight_load_limiter::set_limits(double per_second, int max_concurrent)
 {
     per_second_ = per_second;
     max_concurrent_ = static_cast<std::size_t>(std::max(max_concurrent, 1));
 }
 
-bool load_limiter::has_room(std::size_t count, std::size_t running) const
+bool weight_load_limiter::has_room(std::size_t count, std::size_t running) const
 {
     // A group that needs more loads than may run concurrently begins while no other load runs.
     return unmetered_ || running == 0 || running + count <= max_concurrent_;
 }
 
-bool load_limiter::is_within_rate(instant now, std::size_t count) const
+bool weight_load_limiter::is_within_rate(instant now, std::size_t count) const
 {
     const auto recent = static_cast<std::size_t>(
         std::count_if(begin_times_.begin(), begin_times_.end(),
@@ -38,7 +38,7 @@
     return recent + count <= std::max<std::size_t>(allowed, 1);
 }
 
-bool load_limiter::allows(instant now, std::size_t count, std::size_t running) const
+bool weight_load_limiter::allows(instant now, std::size_t count, std::size_t running) const
 {
     if (count == 0) {
         return true;
@@ -46,12 +46,12 @@
     return has_room(count, running) && (unmetered_ || is_within_rate(now, count));
 }
 
-bool load_limiter::allows_background(instant now, std::size_t running) const
+bool weight_load_limiter::allows_background(instant now, std::size_t running) const
 {
     return unmetered_ || (running == 0 && is_within_rate(now, 1));
 }
 
-void load_limiter::begin(instant now, std::size_t count)
+void weight_load_limiter::begin(instant now, std::size_t count)
 {
     while (!begin_times_.empty() && now - begin_times_.front() >= counting_time) {
         begin_times_.pop_front();
--- a/src/fleet/weight_staging.cpp
+++ b/src/fleet/weight_staging.cpp
@@ -77,7 +77,7 @@
 struct weight_staging::plan_step {
     instant now;
     const placement_snapshot& in;
-    load_limiter& loads;
+    weight_load_limiter& loads;
     std::vector<staging_order> orders;
 };
 
@@ -100,7 +100,7 @@
 }
 
 std::vector<staging_order> weight_staging::plan(instant now, const placement_snapshot& in,
-                                                load_limiter& loads)
+                                                weight_load_limiter& loads)
 {
     plan_step step{now, in, loads, {}};
     repeat_unanswered(step);
--- a/tests/fleet/answer_verdict_test.cpp
+++ b/tests/fleet/answer_verdict_test.cpp
@@ -34,7 +34,7 @@
 TEST(an_answer, counts_as_not_run_only_if_its_runner_says_so)
 {
     for (const int status : {200, 400, 429, 503}) {
-        EXPECT_EQ(judge_answer({.status = status, .disclaims = true}).outcome,
+        EXPECT_EQ(judge_answer({.status = status, .reports_not_executed = true}).outcome,
                   attempt_outcome::not_run)
             << status;
     }
@@ -59,7 +59,7 @@
     in.asks_for_pause = true;
     EXPECT_EQ(judge_answer(in).effect, target_effect::none);
     EXPECT_EQ(judge_answer(in).outcome, attempt_outcome::server_error);
-    in.disclaims = true;
+    in.reports_not_executed = true;
     EXPECT_EQ(judge_answer(in).effect, target_effect::none);
     EXPECT_EQ(judge_answer(in).outcome, attempt_outcome::not_run);
 }
--- a/tests/fleet/health_reports_test.cpp
+++ b/tests/fleet/health_reports_test.cpp
@@ -41,10 +41,10 @@
     health_report report;
     report.checks[head] = {milliseconds{300}, false};
     reports.put(start, daemon_id{"e1"}, report);
-    EXPECT_TRUE(reports.is_unreachable_to_all(start, start - milliseconds{400}, head));
-    EXPECT_FALSE(reports.is_unreachable_to_all(start, start - milliseconds{200}, head));
+    EXPECT_TRUE(reports.is_unreachable_from_all(start, start - milliseconds{400}, head));
+    EXPECT_FALSE(reports.is_unreachable_from_all(start, start - milliseconds{200}, head));
     reports.put(start, daemon_id{"e2"}, {});
-    EXPECT_FALSE(reports.is_unreachable_to_all(start, start - milliseconds{400}, head))
+    EXPECT_FALSE(reports.is_unreachable_from_all(start, start - milliseconds{400}, head))
         << "one entry daemon has not tried to connect";
 }
 
@@ -97,8 +97,8 @@
     health_reports reports;
     reports.put(start, daemon_id{"e1"}, report_on("i-1", 2, 0, 0));
     reports.put(start, daemon_id{"e2"}, report_on("i-1", 3, 0, 0));
-    EXPECT_EQ(reports.loads_without(start, daemon_id{"e1"}).at(runner_id{"i-1"}), 3);
-    EXPECT_EQ(reports.loads_without(start, daemon_id{"e3"}).at(runner_id{"i-1"}), 5);
+    EXPECT_EQ(reports.loads_excluding(start, daemon_id{"e1"}).at(runner_id{"i-1"}), 3);
+    EXPECT_EQ(reports.loads_excluding(start, daemon_id{"e3"}).at(runner_id{"i-1"}), 5);
 }
 
 } // namespace
--- a/tests/fleet/latency_tracker_test.cpp
+++ b/tests/fleet/latency_tracker_test.cpp
@@ -17,16 +17,17 @@
     record("i-1", 50, milliseconds{50});
     record("i-2", 50, milliseconds{60});
     record("i-3", 3, milliseconds{500});
-    EXPECT_TRUE(latencies.slow_among(start, peers).empty()) << "three waits are too few for a mean";
+    EXPECT_TRUE(latencies.slow_runners(start, peers).empty())
+        << "three waits are too few for a mean";
     record("i-3", 50, milliseconds{220});
-    const auto slow = latencies.slow_among(start, peers);
+    const auto slow = latencies.slow_runners(start, peers);
     ASSERT_EQ(slow.size(), 1U);
     EXPECT_EQ(slow.at(runner_id{"i-3"}), 4U);
-    EXPECT_TRUE(latencies.slow_among(start + seconds{5}, peers).empty())
+    EXPECT_TRUE(latencies.slow_runners(start + seconds{5}, peers).empty())
         << "the means have expired";
     record("i-1", 200, milliseconds{220});
     record("i-2", 200, milliseconds{220});
-    EXPECT_TRUE(latencies.slow_among(start, peers).empty())
+    EXPECT_TRUE(latencies.slow_runners(start, peers).empty())
         << "all runners are equally slow under load";
 }
 
@@ -37,7 +38,7 @@
         latency_tracker latencies;
         latencies.record(start, peers[0], 12, milliseconds{100} * 12);
         latencies.record(start, peers[1], 12, milliseconds{wait_ms} * 12);
-        const auto slow = latencies.slow_among(start, peers);
+        const auto slow = latencies.slow_runners(start, peers);
         return slow.contains(peers[1]) ? slow.at(peers[1]) : 0;
     };
     EXPECT_EQ(slowness_at(179), 0U);
@@ -51,7 +52,7 @@
 {
     latency_tracker latencies;
     latencies.record(start, runner_id{"i-1"}, 50, seconds{50});
-    EXPECT_TRUE(latencies.slow_among(start, {runner_id{"i-1"}}).empty());
+    EXPECT_TRUE(latencies.slow_runners(start, {runner_id{"i-1"}}).empty());
 }
 
 } // namespace
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -58,7 +58,7 @@
     }
 
     snapshot_maker world;
-    load_limiter limiter;
+    weight_load_limiter limiter;
     weight_staging staging;
 };
 
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -203,7 +203,7 @@
     }
     auto head = make_head(request);
     head.status = 503;
-    if (disclaims) {
+    if (reports_not_executed) {
         head.fields.add("X-Cedarpoint-Not-Executed", "1");
     }
     if (!retry_after->empty()) {
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -44,7 +44,7 @@
     /// Called with each request's id. If it returns nothing, the request is served; otherwise it is
     /// refused with this Retry-After, or without one if the string is empty.
     std::function<std::optional<std::string>(const std::string&)> turn_away;
-    bool disclaims = true; ///< refusals state that the request was not run
+    bool reports_not_executed = true; ///< refusals state that the request was not run
     /// Stops or restarts heartbeats. Requests are served all the time.
     void be_silent(bool silent);
     milliseconds answer_time{0};  ///< time to answer a plain request
--- a/tests/fleet/request_admission_test.cpp
+++ b/tests/fleet/request_admission_test.cpp
@@ -84,11 +84,11 @@
 {
     admission_request in{.host = "h", .target = "/open/x"};
     EXPECT_EQ(ask(in).deadline, start + milliseconds{5000});
-    in.patience = milliseconds{4999};
+    in.caller_timeout = milliseconds{4999};
     EXPECT_EQ(ask(in).deadline, start + milliseconds{4999});
-    in.patience = milliseconds{5001};
+    in.caller_timeout = milliseconds{5001};
     EXPECT_EQ(ask(in).deadline, start + milliseconds{5000});
-    in.patience = milliseconds{-1};
+    in.caller_timeout = milliseconds{-1};
     EXPECT_EQ(ask(in).deadline, start);
 }
 
--- a/tests/fleet/retry_policy_test.cpp
+++ b/tests/fleet/retry_policy_test.cpp
@@ -50,14 +50,14 @@
 
 TEST(a_request_that_is_given_up, breaks_off_once_the_caller_has_part_of_a_stream)
 {
-    const give_up_facts facts{.has_begun = true, .has_failure = true, .failure_status = 500};
+    const final_answer_facts facts{.has_begun = true, .has_failure = true, .failure_status = 500};
     EXPECT_EQ(choose_final_answer(facts), final_answer::break_off);
 }
 
 TEST(a_request_that_is_given_up, gets_the_failure_of_its_runner)
 {
     for (const int status : {400, 404, 500, 504}) {
-        const give_up_facts facts{
+        const final_answer_facts facts{
             .has_failure = true, .failure_status = status, .may_have_run = true};
         EXPECT_EQ(choose_final_answer(facts), final_answer::pass_failure) << status;
     }
@@ -66,7 +66,8 @@
 TEST(a_request_that_is_given_up, gets_no_failure_that_wrongly_implies_that_it_has_not_run)
 {
     for (const int status : {408, 429, 503}) {
-        give_up_facts facts{.has_failure = true, .failure_status = status, .may_have_run = true};
+        final_answer_facts facts{
+            .has_failure = true, .failure_status = status, .may_have_run = true};
         EXPECT_EQ(choose_final_answer(facts), final_answer::unknown) << status;
         facts.is_repeatable = true;
         EXPECT_EQ(choose_final_answer(facts), final_answer::pass_failure) << status;
--- a/tests/fleet/runner_orders_test.cpp
+++ b/tests/fleet/runner_orders_test.cpp
@@ -37,7 +37,7 @@
         step.order.kind = order_kind::leave;
         step.order.to = runner_id{"i-1"};
         step.order.address = runner.address();
-        orders->carry_out(step);
+        orders->execute_step(step);
     }
 
     int received = 0;
--- a/tests/fleet/load_limiter_test.cpp
+++ b/tests/fleet/weight_load_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "cedarpoint/fleet/load_limiter.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 TEST(loads, keep_to_the_stores_rate_except_before_the_first_request)
 {
-    load_limiter limiter;
+    weight_load_limiter limiter;
     limiter.set_limits(4.5, 6);
     EXPECT_TRUE(limiter.allows(start, 4, 0));
     EXPECT_FALSE(limiter.allows(start, 4, 6));
@@ -26,7 +26,7 @@
 
 TEST(loads, are_limited_to_the_number_that_runs_at_full_speed)
 {
-    load_limiter limiter;
+    weight_load_limiter limiter;
     limiter.set_limits(100, 6);
     EXPECT_TRUE(limiter.allows(start, 1, 5));
     EXPECT_FALSE(limiter.allows(start, 1, 6));
@@ -40,7 +40,7 @@
 
 TEST(loads, that_nothing_waits_for_begin_only_while_no_other_runs)
 {
-    load_limiter limiter;
+    weight_load_limiter limiter;
     limiter.set_limits(1, 6);
     EXPECT_TRUE(limiter.allows_background(start, 0));
     EXPECT_FALSE(limiter.allows_background(start, 1));
@@ -52,7 +52,7 @@
 
 TEST(loads, count_for_a_second_longer_than_the_stores_window)
 {
-    load_limiter limiter;
+    weight_load_limiter limiter;
     limiter.set_limits(1, 100);
     limiter.begin(start, 4);
     EXPECT_FALSE(limiter.allows(start + milliseconds{5999}, 1, 0))
