--- a/include/cedarpoint/fleet/retry_policy.h
+++ b/include/cedarpoint/fleet/retry_policy.h
@@ -71,7 +71,7 @@
 
 /// How a request ends that no attempt has served.
 enum class final_answer {
-    break_off,    ///< the caller has part of a stream: its connection is aborted
+    abort_stream, ///< the caller has part of a stream: its connection is aborted
     pass_failure, ///< the caller receives the failed runner's answer
     not_run,      ///< 503: the request has not run and will not, or may run twice
     unknown       ///< 502: the request may have run
--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -56,7 +56,7 @@
     void attempt_event(attempt_id attempt);
     /// Returns true if a 5xx response must be reported as `attempt_end::server_error` and not be
     /// passed to the caller.
-    [[nodiscard]] bool wants_server_error(attempt_id attempt) const;
+    [[nodiscard]] bool must_report_server_error(attempt_id attempt) const;
     /// Completes the request, or retries, resumes or refuses it. No actions if the attempt has
     /// already ended.
     [[nodiscard]] actions attempt_ended(instant now, attempt_id attempt, attempt_end how);
--- a/src/control_daemon/control_daemon.cpp
+++ b/src/control_daemon/control_daemon.cpp
@@ -50,7 +50,7 @@
     log_->tick(steady_now());
     // Read the clock again: a slow disk may have blocked the log for longer than a lease.
     const auto now = steady_now();
-    disk_.note(log_->refused_write());
+    disk_.note(log_->write_failure());
     metrics_.set_disk_refuses(disk_.refuses());
     if (!check_log()) {
         return;
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -132,7 +132,8 @@
 {
     open_orders();
     open_api();
-    if (!open_log(why) || !mesh_.start_open(settings_.bind.value_or(settings_.address), why) ||
+    if (!open_log(why) ||
+        !mesh_.start_unauthenticated(settings_.bind.value_or(settings_.address), why) ||
         !open_listeners(why)) {
         return false;
     }
--- a/src/control_daemon/election_logger.cpp
+++ b/src/control_daemon/election_logger.cpp
@@ -19,8 +19,8 @@
     return fmt::format("{}{}: last message {}, sent {}, dropped without connection {}, votes "
                        "requested {} granted {} refused {}, requested by peer {} latest reply {}",
                        in.member.str(), in.voter ? "" : " (learner)", heard, sent, dropped,
-                       contact.votes_asked, contact.votes_granted, contact.votes_refused,
-                       contact.votes_taken, name_of(contact.latest_answer));
+                       contact.votes_requested, contact.votes_granted, contact.votes_refused,
+                       contact.votes_requested_by_peer, name_of(contact.latest_answer));
 }
 
 } // namespace
--- a/src/entry/entry_daemon.cpp
+++ b/src/entry/entry_daemon.cpp
@@ -103,7 +103,7 @@
 
 bool entry_daemon::open(reason& why)
 {
-    if (!mesh_.start_open(settings_.bind.value_or(settings_.address), why) ||
+    if (!mesh_.start_unauthenticated(settings_.bind.value_or(settings_.address), why) ||
         !open_listeners(why)) {
         return false;
     }
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -76,7 +76,7 @@
 
 relay::~relay()
 {
-    reply_->on_gone = nullptr;
+    reply_->on_caller_disconnected = nullptr;
     reply_->on_drained = nullptr;
 }
 
@@ -92,7 +92,7 @@
         finish("caller_gone", "before the request was read");
         return;
     }
-    reply_->on_gone = [this] { on_caller_gone(); };
+    reply_->on_caller_disconnected = [this] { on_caller_gone(); };
     if (!is_admitted()) {
         return;
     }
@@ -278,7 +278,7 @@
 {
     if (ended_ || !attempt_->is_running() ||
         !may_send_again(facts_, attempt_outcome::may_have_run) ||
-        may_end_more_runners(attempt_outcome::may_have_run)) {
+        retry_may_crash_runner(attempt_outcome::may_have_run)) {
         return;
     }
     const auto now = steady_now();
@@ -347,7 +347,7 @@
     if (!may_send_again(facts_, verdict.outcome)) {
         give_up(verdict.why);
     }
-    else if (may_end_more_runners(verdict.outcome)) {
+    else if (retry_may_crash_runner(verdict.outcome)) {
         give_up("runners have ended under this request");
     }
     else {
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -62,7 +62,7 @@
     [[nodiscard]] const request_fingerprint& fingerprint();
     [[nodiscard]] bool is_quarantined();
     /// Returns true if the request must not be retried because it may crash another runner.
-    [[nodiscard]] bool may_end_more_runners(attempt_outcome outcome);
+    [[nodiscard]] bool retry_may_crash_runner(attempt_outcome outcome);
     void on_stalled();
     /// Cancels the current attempt and retries at another runner if that is allowed.
     void fail_over(const char* why);
@@ -72,7 +72,7 @@
     void deliver();
     void give_up(const std::string& why);
     void pass_failure(const std::string& why);
-    void break_off(const std::string& why);
+    void abort_stream(const std::string& why);
     void answer(local_reply kind, const std::string& why);
     /// Returns the value of Retry-After; empty if the answer has none.
     [[nodiscard]] std::string retry_after(const local_reply_spec& spec);
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -45,8 +45,8 @@
     known.may_have_run = facts_.may_have_run;
     known.is_repeatable = is_repeatable(facts_);
     switch (choose_final_answer(known)) {
-    case final_answer::break_off:
-        break_off(why);
+    case final_answer::abort_stream:
+        abort_stream(why);
         return;
     case final_answer::pass_failure:
         pass_failure(why);
@@ -76,7 +76,7 @@
     finish("failed_at_runner", why);
 }
 
-void relay::break_off(const std::string& why)
+void relay::abort_stream(const std::string& why)
 {
     reply_->abort();
     finish("broken_off", why);
@@ -125,7 +125,7 @@
     const auto self = shared_from_this();
     abandon_attempt();
     if (stream_begun_) {
-        break_off("deadline exceeded");
+        abort_stream("deadline exceeded");
     }
     else {
         answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_unrun, "");
@@ -139,7 +139,7 @@
     }
     ended_ = true;
     deadline_timer_.stop();
-    reply_->on_gone = nullptr;
+    reply_->on_caller_disconnected = nullptr;
     reply_->on_drained = nullptr;
     // The text after a colon names a peer. As a label value it would create a time series for each.
     context_.metrics.count_end(outcome, std::string{cause.substr(0, cause.find(':'))});
--- a/src/entry/relay_quarantine.cpp
+++ b/src/entry/relay_quarantine.cpp
@@ -30,7 +30,7 @@
            context_.crashes.is_quarantined(steady_now(), fingerprint());
 }
 
-bool relay::may_end_more_runners(attempt_outcome outcome)
+bool relay::retry_may_crash_runner(attempt_outcome outcome)
 {
     if (outcome == attempt_outcome::not_run) {
         return is_quarantined();
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -246,7 +246,7 @@
 attempt_verdict runner_attempt::judge_complete() const
 {
     if (streaming_) {
-        return judge_stream_end(events_.has_rest());
+        return judge_stream_end(events_.has_partial_event());
     }
     answer_facts facts;
     facts.status = head_->status;
--- a/src/fleet/retry_policy.cpp
+++ b/src/fleet/retry_policy.cpp
@@ -12,7 +12,7 @@
 final_answer choose_final_answer(const final_answer_facts& facts)
 {
     if (facts.has_begun) {
-        return final_answer::break_off;
+        return final_answer::abort_stream;
     }
     // From these statuses the caller would conclude that the request has not run and repeat it, but
     // a runner may have run it.
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -205,7 +205,7 @@
     }
 }
 
-bool dispatcher::wants_server_error(attempt_id attempt) const
+bool dispatcher::must_report_server_error(attempt_id attempt) const
 {
     const auto* it = open_.find_attempt(attempt);
     return it != nullptr && it->call.repeatable && it->attempts < options_.max_attempts;
--- a/tests/fleet/retry_policy_test.cpp
+++ b/tests/fleet/retry_policy_test.cpp
@@ -51,7 +51,7 @@
 TEST(a_request_that_is_given_up, breaks_off_once_the_caller_has_part_of_a_stream)
 {
     const final_answer_facts facts{.has_begun = true, .has_failure = true, .failure_status = 500};
-    EXPECT_EQ(choose_final_answer(facts), final_answer::break_off);
+    EXPECT_EQ(choose_final_answer(facts), final_answer::abort_stream);
 }
 
 TEST(a_request_that_is_given_up, gets_the_failure_of_its_runner)
--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -52,7 +52,7 @@
 stand_in_runner::~stand_in_runner()
 {
     for (auto& [id, it] : streams_) {
-        it.reply->on_gone = nullptr;
+        it.reply->on_caller_disconnected = nullptr;
     }
 }
 
@@ -157,7 +157,7 @@
     it.end = tokens;
     it.fault = fault;
     it.chat = request.target.starts_with("/v1/chat/");
-    reply->on_gone = [this, id] {
+    reply->on_caller_disconnected = [this, id] {
         ++cancelled_;
         streams_.erase(id);
     };
@@ -176,7 +176,7 @@
         auto node = streams_.extract(id);
         auto& done = node.mapped();
         done.timer.release()->deleteLater();
-        done.reply->on_gone = nullptr;
+        done.reply->on_caller_disconnected = nullptr;
         if (done.fault != fault_stage::none) {
             done.reply->begin(json_head(200));
             done.reply->write("{\"half");
@@ -220,7 +220,7 @@
         auto node = streams_.extract(id);
         node.mapped().timer.release()->deleteLater();
         const auto reply = node.mapped().reply;
-        reply->on_gone = nullptr;
+        reply->on_caller_disconnected = nullptr;
         if (breaks) {
             reply->write("data: {\"half"); // a truncated event, which must never reach a caller
             reply->abort();
