--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -235,7 +235,9 @@
     ASSERT_TRUE(serves());
     for (const auto& runner : shop) {
         runner->reports_not_executed = false;
-        runner->turn_away = [](const std::string&) { return std::optional<std::string>{"30"}; };
+        runner->refuse_request = [](const std::string&) {
+            return std::optional<std::string>{"30"};
+        };
     }
     const auto answer = call(site.callers(), "GET", "/safe/x", headers, "");
     EXPECT_EQ(answer.head.status, 503);
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -64,14 +64,14 @@
     ends.push_back(steady_now());
     timer_.stop();
     listener_.reset();
-    if (port_is_kept) {
+    if (keeps_port_open) {
         keep_port_open();
     }
     group_.clear();
     state_.clear();
     sequence_ = 0;
     ++born_;
-    QTimer::singleShot(time_away, &timer_, [this] { begin_incarnation(); });
+    QTimer::singleShot(restart_delay, &timer_, [this] { begin_incarnation(); });
 }
 
 std::string platform_runner::announcement_text()
@@ -149,15 +149,15 @@
         reply->send(std::move(head), "");
         return;
     }
-    if (is_turned_away(request, reply)) {
+    if (is_refused(request, reply)) {
         return;
     }
     auto head = make_head(request);
     ++served_;
     arrivals.push_back({steady_now(), std::string{request.fields.get("X-Cedarpoint-Request-Id")},
                         request.body, !rate_limit.empty()});
-    if (!ended_by.empty() && request.body.find(ended_by) != std::string::npos) {
-        QTimer::singleShot(time_to_end, &timer_, [this] { crash(); });
+    if (!crash_trigger.empty() && request.body.find(crash_trigger) != std::string::npos) {
+        QTimer::singleShot(crash_delay, &timer_, [this] { crash(); });
         return;
     }
     if (service_ == "pool") {
@@ -191,13 +191,14 @@
     return out;
 }
 
-bool platform_runner::is_turned_away(const http_request& request,
-                                     const std::shared_ptr<http_reply>& reply)
+bool platform_runner::is_refused(const http_request& request,
+                                 const std::shared_ptr<http_reply>& reply)
 {
-    if (!turn_away) {
+    if (!refuse_request) {
         return false;
     }
-    const auto retry_after = turn_away(std::string{request.fields.get("X-Cedarpoint-Request-Id")});
+    const auto retry_after =
+        refuse_request(std::string{request.fields.get("X-Cedarpoint-Request-Id")});
     if (!retry_after) {
         return false;
     }
@@ -213,9 +214,9 @@
     return true;
 }
 
-void platform_runner::be_silent(bool silent)
+void platform_runner::set_heartbeats_stopped(bool stopped)
 {
-    if (silent) {
+    if (stopped) {
         timer_.stop();
     }
     else {
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -43,20 +43,20 @@
     bool leaving = false;              ///< each answer states that the runner leaves
     /// Called with each request's id. If it returns nothing, the request is served; otherwise it is
     /// refused with this Retry-After, or without one if the string is empty.
-    std::function<std::optional<std::string>(const std::string&)> turn_away;
+    std::function<std::optional<std::string>(const std::string&)> refuse_request;
     bool reports_not_executed = true; ///< refusals state that the request was not run
     /// Stops or restarts heartbeats. Requests are served all the time.
-    void be_silent(bool silent);
-    milliseconds answer_time{0};  ///< time to answer a plain request
-    int slots = 4;                ///< reported in its heartbeats
-    std::string ended_by;         ///< a request with this text in its body crashes the runner
-    milliseconds time_to_end{40}; ///< from the start of such a request to the crash
-    milliseconds time_away{2500}; ///< from a crash to the restart under the same id
-    std::vector<instant> ends;    ///< times of its crashes
+    void set_heartbeats_stopped(bool stopped);
+    milliseconds answer_time{0};      ///< time to answer a plain request
+    int slots = 4;                    ///< reported in its heartbeats
+    std::string crash_trigger;        ///< a request with this text in its body crashes the runner
+    milliseconds crash_delay{40};     ///< from the start of such a request to the crash
+    milliseconds restart_delay{2500}; ///< from a crash to the restart under the same id
+    std::vector<instant> ends;        ///< times of its crashes
     /// True if a supervisor keeps the listening socket open: connections that send a request while
     /// the runner is down are aborted.
-    bool port_is_kept = false;
-    /// Stops at once, like a crashed process, and restarts after `time_away`.
+    bool keeps_port_open = false;
+    /// Stops at once, like a crashed process, and restarts after `restart_delay`.
     void crash();
     struct arrival {
         instant at;
@@ -72,8 +72,8 @@
     void stream(const http_request& request, const std::shared_ptr<http_reply>& reply);
     /// Returns the head of an answer to the request, with the runner's rate limit and state.
     [[nodiscard]] http_head make_head(const http_request& request) const;
-    [[nodiscard]] bool is_turned_away(const http_request& request,
-                                      const std::shared_ptr<http_reply>& reply);
+    [[nodiscard]] bool is_refused(const http_request& request,
+                                  const std::shared_ptr<http_reply>& reply);
     void announce();
     void begin_incarnation();
     /// Accepts connections at the address and aborts each one that sends a request.
@@ -84,7 +84,7 @@
     std::string service_;
     std::vector<endpoint> controls_;
     std::size_t control_ = 0;
-    std::unique_ptr<http_listener> listener_; ///< null while down, unless `port_is_kept`
+    std::unique_ptr<http_listener> listener_; ///< null while down, unless `keeps_port_open`
     bool is_down_ = false;
     endpoint address_{"127.0.0.1", 0}; ///< kept across restarts
     runner_pool pool_;
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -71,7 +71,7 @@
             runners.push_back(std::make_unique<platform_runner>(
                 fmt::format("s-{}", made), "shop", fleet.controls(), std::uint64_t{1000}));
             runners.back()->answer_time = milliseconds{20};
-            runners.back()->ended_by = "ends-runners";
+            runners.back()->crash_trigger = "ends-runners";
         }
         ASSERT_TRUE(fleet.put(document));
         ASSERT_TRUE(fleet.wait_serving("/safe/x"));
@@ -112,7 +112,7 @@
         out.ends = arrivals.size(); // each crashes its runner, or arrives while it is ending
         if (arrivals.size() >= crashes_before_guarantee) {
             const auto counted_from =
-                arrivals[crashes_before_guarantee - 1] + runners[0]->time_to_end + contact_time;
+                arrivals[crashes_before_guarantee - 1] + runners[0]->crash_delay + contact_time;
             out.arrivals_after = static_cast<std::size_t>(std::count_if(
                 arrivals.begin(), arrivals.end(), [&](instant at) { return at > counted_from; }));
         }
@@ -204,8 +204,8 @@
 TEST_P(a_fleet_with_a_crashing_request, counts_ends_of_runners_whose_port_stays_open)
 {
     for (const auto& runner : runners) {
-        runner->port_is_kept = true;
-        runner->time_away = milliseconds{300};
+        runner->keeps_port_open = true;
+        runner->restart_delay = milliseconds{300};
     }
     const auto sound = ask_sound(30);
     const auto crashing = ask(7, "crashing", "/safe/x", repeatable);
@@ -220,8 +220,8 @@
 TEST_P(a_fleet_with_a_crashing_request, refuses_no_popular_request_at_runners_whose_port_stays_open)
 {
     for (const auto& runner : runners) {
-        runner->port_is_kept = true;
-        runner->time_away = milliseconds{300};
+        runner->keeps_port_open = true;
+        runner->restart_delay = milliseconds{300};
     }
     const auto popular = ask(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 20; ++round) {
--- a/tests/quarantine/quarantine_api_test.cpp
+++ b/tests/quarantine/quarantine_api_test.cpp
@@ -27,8 +27,8 @@
         for (int made = 0; made < 5; ++made) {
             runners.push_back(std::make_unique<platform_runner>(
                 fmt::format("s-{}", made), "shop", site.controls(), std::uint64_t{1000}));
-            runners.back()->ended_by = "ends-runners";
-            runners.back()->time_away = milliseconds{200};
+            runners.back()->crash_trigger = "ends-runners";
+            runners.back()->restart_delay = milliseconds{200};
         }
         EXPECT_EQ(site.put(document), 200);
         EXPECT_TRUE(wait_until([&] { return ask("sound") == 200; }));
@@ -79,7 +79,7 @@
 
     // The operator has repaired the runners.
     for (const auto& runner : runners) {
-        runner->ended_by.clear();
+        runner->crash_trigger.clear();
     }
     const auto fingerprint = list[0].at("fingerprint").get<std::string>();
     const auto lift = "/cedarpoint/quarantine/" + fingerprint + "/lift";
@@ -98,7 +98,7 @@
 
     // The request crashes runners again, and is counted from zero.
     for (const auto& runner : runners) {
-        runner->ended_by = "ends-runners";
+        runner->crash_trigger = "ends-runners";
     }
     EXPECT_TRUE(wait_until([&] { return ask("ends-runners") == 429; }));
     EXPECT_EQ(listed().size(), 1U);
--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -187,9 +187,9 @@
         pass_time_with_pauses(milliseconds{700});
     }
     // A runner disappears from the view and returns.
-    runners[0]->be_silent(true);
+    runners[0]->set_heartbeats_stopped(true);
     pass_time_with_pauses(milliseconds{1200});
-    runners[0]->be_silent(false);
+    runners[0]->set_heartbeats_stopped(false);
     pass_time_with_pauses(milliseconds{1500});
 
     // The leader fails and restarts.
@@ -245,7 +245,7 @@
     pass_time(seconds{3});
     EXPECT_EQ(count_requests_in_pauses(), 0);
     runners[0]->crash();
-    pass_time(runners[0]->time_away);
+    pass_time(runners[0]->restart_delay);
     const auto before = pauses[0]->arrivals.size();
     pass_time(seconds{3});
     EXPECT_GT(pauses[0]->arrivals.size(),
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -89,8 +89,8 @@
         for (int made = 0; made < 2; ++made) {
             runners.push_back(std::make_unique<platform_runner>(
                 fmt::format("s-{}", made), "shop", fleet.controls(), std::uint64_t{1000}));
-            runners.back()->ended_by = crashing_body;
-            runners.back()->time_away = milliseconds{500};
+            runners.back()->crash_trigger = crashing_body;
+            runners.back()->restart_delay = milliseconds{500};
         }
         for (const auto& runner : runners) {
             pauses.push_back(std::make_unique<pausing_runner>(*runner));
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -29,7 +29,7 @@
 
     explicit pausing_runner(platform_runner& runner) : runner_{runner}
     {
-        runner.turn_away = [this](const std::string& request) { return on_request(request); };
+        runner.refuse_request = [this](const std::string& request) { return on_request(request); };
     }
 
     /// Makes the runner reject the next request of entry daemon `sender` with a pause of `time`.
