--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -1,4 +1,4 @@
-// The way of a runner's answer to the caller: whole, event by event, or as it comes.
+// Relays a runner's answer to the caller: complete, event by event, or unbuffered.
 
 #include "daemon/caller_gateway.h"
 
@@ -14,12 +14,13 @@
 namespace cedarpoint {
 namespace {
 
-/// Bytes of an answer that is kept until it is whole; larger ones are passed on as they
-/// come, as docs/API.md promises.
+/// Largest answer in bytes that is buffered until it is complete. The bytes of larger answers are
+/// forwarded as they arrive; see docs/API.md.
 constexpr std::size_t max_whole_answer = 16 << 20;
 constexpr int first_server_error = 500;
 
-/// A runner's head without what is between it and cedarpoint.
+/// Returns a runner's head without hop-by-hop fields and without fields meant for cedarpoint, and
+/// with the request's id.
 http_head head_for_caller(const http_head& from, const request_id& request)
 {
     http_head out{from.status, {}};
@@ -114,7 +115,7 @@
     if (!whole.empty()) {
         begin_answer(id, it, to);
         to.reply->write(whole);
-        hold_back(it, to);
+        apply_backpressure(it, to);
     }
     if (!fine) {
         it.call->cancel();
@@ -134,10 +135,10 @@
         begin_answer(id, it, to);
     }
     to.reply->write(bytes);
-    hold_back(it, to);
+    apply_backpressure(it, to);
 }
 
-void caller_gateway::hold_back(attempt& it, const exchange& to)
+void caller_gateway::apply_backpressure(attempt& it, const exchange& to)
 {
     if (to.reply->buffered() > own_.limits.max_buffered_bytes) {
         it.call->pause();
@@ -147,8 +148,8 @@
 void caller_gateway::on_end(attempt_id id, call_end how, const reason& why)
 {
     auto& it = attempts_.at(id.value);
-    const bool torn = it.events != nullptr && it.events->has_rest() && !it.finished;
-    const bool whole = (how == call_end::complete && !torn) || it.finished;
+    const bool ends_within_event = it.events != nullptr && it.events->has_rest() && !it.finished;
+    const bool whole = (how == call_end::complete && !ends_within_event) || it.finished;
     if (whole) {
         finish(id, it);
         return;
@@ -161,14 +162,15 @@
         .with("reason", why.text)
         .write();
     if (it.relaying) {
-        // Part of a body without events is out: breaking the connection is how HTTP says "cut".
+        // Part of a plain body is sent already. Only aborting the connection can tell the caller
+        // that the body is incomplete.
         const auto request = it.request;
         const auto reply = exchanges_.at(request).reply;
         reply->on_gone = nullptr;
         reply->abort();
         exchanges_.erase(request);
         retire(id);
-        perform(core_.caller_gone(steady_now(), request)); // nothing more can be told to it
+        perform(core_.caller_gone(steady_now(), request)); // its connection is closed
         return;
     }
     retire(id);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,17 +15,17 @@
 namespace cedarpoint {
 namespace {
 
-/// Time between two ticks.
+/// Interval between two ticks.
 constexpr int tick_ms = 20;
-/// Time between two updates of the targets.
+/// Interval between two updates of the targets.
 constexpr duration view_interval = milliseconds{50};
 constexpr duration metrics_interval = seconds{1};
-/// Time between two messages on requests under which runners ended, where there is no news: by them
-/// a daemon that was away learns of it.
-constexpr duration share_interval = seconds{5};
-/// The process's exit code once its state can't be made durable: docs/OPERATIONS.md.
+/// Interval at which the requests under which runners ended are sent again to the other daemons.
+/// Daemons that missed an earlier message receive them in this way.
+constexpr duration publish_interval = seconds{5};
+/// Exit code of the process if its state can't be made durable; see docs/OPERATIONS.md.
 constexpr int disk_failed_exit = 5;
-/// Of a CURVE key in Z85, as `curve_keygen` prints it.
+/// Length of a CURVE key in Z85, as printed by `curve_keygen`.
 constexpr std::size_t key_digits = 40;
 
 std::uint64_t random_seed()
@@ -49,9 +49,11 @@
 dispatch_options dispatch_options_of(const settings& own)
 {
     dispatch_options out;
-    // The balancer spreads calls evenly, so each daemon holds an even share of each limit.
+    // The load balancer distributes requests evenly, so each daemon enforces an equal share of each
+    // limit.
     out.limit_share = own.peers.empty() ? 1.0 : 1.0 / static_cast<double>(own.peers.size());
-    // No leader divides rates here. A quarter is left for daemons whose parts come together.
+    // No leader distributes rates in this setup. A quarter of each rate is left unused, for times
+    // at which several daemons send at once.
     out.permits.used_part = 0.75;
     out.permits.daemons = std::max<std::size_t>(own.peers.size(), 1);
     out.permits.seed = hash_of(own.id.str());
@@ -190,18 +192,18 @@
         mesh_->drain();
     }
     disk_.note(control_->refused_write());
-    if (!can_go_on()) {
+    if (!check_durability()) {
         return;
     }
-    look_at_runners(now);
+    poll_runners(now);
     if (now >= next_view_) {
         next_view_ = now + view_interval;
         refresh_view();
     }
     gateway_->perform(dispatcher_.tick(now));
     runner_ends_.clean_up();
-    if (now >= next_share_) {
-        share_crashes(now);
+    if (now >= next_publish_) {
+        publish_crashes(now);
     }
     if (now >= next_metrics_) {
         next_metrics_ = now + metrics_interval;
@@ -210,15 +212,15 @@
     check_stop();
 }
 
-void daemon::look_at_runners(instant now)
+void daemon::poll_runners(instant now)
 {
-    if (now >= next_watch_) {
-        next_watch_ = now + own_.watch_interval;
-        runners_->look(control_->watched(now));
+    if (now >= next_poll_) {
+        next_poll_ = now + own_.watch_interval;
+        runners_->poll_states(control_->watched(now));
     }
 }
 
-bool daemon::can_go_on()
+bool daemon::check_durability()
 {
     const auto failure = control_->failure();
     if (!failure) {
@@ -245,12 +247,12 @@
         return;
     }
     log_runner_end(runner, seen);
-    share_crashes(now);
+    publish_crashes(now);
 }
 
-void daemon::share_crashes(instant now)
+void daemon::publish_crashes(instant now)
 {
-    next_share_ = now + share_interval;
+    next_publish_ = now + publish_interval;
     wire::envelope out;
     auto known = dispatcher_.known_crashes();
     for (auto& [request, history] : known) {
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -9,14 +9,14 @@
 
 using json = nlohmann::json;
 
-// The scenarios' golden files hold the times that follow from these; none was measured.
+// The times in the scenarios' golden files depend on these constants.
 constexpr duration step_time = milliseconds{10};
-constexpr duration load_time = milliseconds{500}; ///< from the order to load to ready
-constexpr milliseconds watch_interval{200};       ///< the product's default is 1000 ms
+constexpr duration load_time = milliseconds{500}; ///< from the load order until the engine is ready
+constexpr milliseconds watch_interval{200};       ///< shorter than the product's default of 1000 ms
 constexpr int group_size = 4;                     ///< nodes
 constexpr int ports_per_zone = 100;
-constexpr std::uint16_t first_daemon_port = 10'000; ///< in addresses only: nothing listens
-constexpr int first_runner_port = 20'000;           ///< the same
+constexpr std::uint16_t first_daemon_port = 10'000; ///< in addresses only; no port is opened
+constexpr int first_runner_port = 20'000;           ///< in addresses only; no port is opened
 
 std::string zone_name(int n)
 {
@@ -87,7 +87,7 @@
     };
     control_plane::options options;
     options.own = it.own;
-    // Distinct for each world, daemon and start; the golden files hold what follows from it.
+    // Distinct for each world, daemon and start. The golden files depend on this value.
     options.seed =
         options_.seed * 1000 + std::hash<std::string>{}(daemon) % 997 + (++it.starts) * 1'000'003;
     reason why;
@@ -95,7 +95,7 @@
     it.plane = control_plane::open(now_, std::move(options), it.has_disk ? &it.files : nullptr,
                                    std::move(hooks), why);
     if (it.plane == nullptr) {
-        note(daemon + " does not start: " + why.str());
+        record_violation(daemon + " does not start: " + why.str());
     }
 }
 
@@ -152,19 +152,21 @@
     }
     const int copies = percent(random_) < options_.double_percent ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
-        flying_.push_back({now_ + milliseconds{delay(random_)}, from, to, what});
+        in_flight_.push_back({now_ + milliseconds{delay(random_)}, from, to, what});
     }
 }
 
 void world::deliver()
 {
-    std::vector<flying> due;
-    const auto later = std::stable_partition(flying_.begin(), flying_.end(),
-                                             [&](const flying& it) { return it.due <= now_; });
-    due.assign(std::make_move_iterator(flying_.begin()), std::make_move_iterator(later));
-    flying_.erase(flying_.begin(), later);
-    std::stable_sort(due.begin(), due.end(),
-                     [](const flying& a, const flying& b) { return a.due < b.due; });
+    std::vector<in_flight_message> due;
+    const auto later =
+        std::stable_partition(in_flight_.begin(), in_flight_.end(),
+                              [&](const in_flight_message& it) { return it.due <= now_; });
+    due.assign(std::make_move_iterator(in_flight_.begin()), std::make_move_iterator(later));
+    in_flight_.erase(in_flight_.begin(), later);
+    std::stable_sort(
+        due.begin(), due.end(),
+        [](const in_flight_message& a, const in_flight_message& b) { return a.due < b.due; });
     for (const auto& it : due) {
         auto& to = at(it.to);
         if (to.paused) {
@@ -176,12 +178,12 @@
     }
 }
 
-void world::look(host& it)
+void world::poll_runners(host& it)
 {
-    if (now_ < it.next_look) {
+    if (now_ < it.next_poll) {
         return;
     }
-    it.next_look = now_ + watch_interval;
+    it.next_poll = now_ + watch_interval;
     for (const auto& runner : it.plane->watched(now_)) {
         const auto& engine = engines_.at(runner.node.str());
         if (engine.alive) {
@@ -192,7 +194,7 @@
 
 void world::take_order(const runner_order& order)
 {
-    auto& it = engines_.at(order.runner.str().substr(2)); // runners are called r-<node>
+    auto& it = engines_.at(order.runner.str().substr(2)); // a runner's id is r-<node>
     if (!it.alive || (it.checks_epoch && order.assignment < it.state.assignment)) {
         return;
     }
@@ -220,10 +222,10 @@
         for (const auto& what : std::exchange(it->held, {})) {
             it->plane->receive(now_, what);
         }
-        look(*it);
+        poll_runners(*it);
         it->plane->tick(now_);
         if (it->plane->failure()) {
-            kill(name); // as the process ends itself
+            kill(name); // the real process would exit
         }
     }
     check();
@@ -326,7 +328,7 @@
                    claim_outcome outcome)
 {
     if (outcome == claim_outcome::not_run) {
-        granted[key].erase(holder); // it did not run and never will
+        granted[key].erase(holder); // it has not run and will not run
     }
     plane(daemon).finish_claim(
         now_,
@@ -397,28 +399,28 @@
 
 // --- invariants ---------------------------------------------------------------------------------
 
-void world::note(const std::string& what)
+void world::record_violation(const std::string& what)
 {
-    if (broken_.empty()) {
-        broken_ = fmt::format("seed {} at {} ms: {}", options_.seed,
-                              to_ms(now_ - instant{seconds{1000}}), what);
+    if (violation_.empty()) {
+        violation_ = fmt::format("seed {} at {} ms: {}", options_.seed,
+                                 to_ms(now_ - instant{seconds{1000}}), what);
     }
 }
 
 void world::check()
 {
-    // Messages under way; calm worlds of nine daemons have some dozens.
-    constexpr std::size_t storm = 2000;
-    if (flying_.size() > storm) {
-        note("a storm of messages");
+    // The maximum number of messages in flight. Nine daemons without faults have a few dozen.
+    constexpr std::size_t max_in_flight = 2000;
+    if (in_flight_.size() > max_in_flight) {
+        record_violation("a storm of messages");
     }
     check_leases();
     check_routes();
     check_configuration();
     for (const auto& [key, holders] : granted) {
         if (holders.size() > 1) {
-            note("claim " + key + " was granted to " + *holders.begin() + " and to " +
-                 *holders.rbegin());
+            record_violation("claim " + key + " was granted to " + *holders.begin() + " and to " +
+                             *holders.rbegin());
         }
     }
 }
@@ -427,9 +429,10 @@
 {
     std::map<std::string, std::string> holder;
     for (const auto& [host_name, it] : hosts_) {
-        const auto& name = host_name; // a binding can't be captured
+        const auto& name =
+            host_name; // not every compiler lets a lambda capture a structured binding
         if (it->plane == nullptr) {
-            continue; // a paused one counts: its lease has to expire by its clock
+            continue; // paused daemons are checked: their leases must expire by the clock
         }
         const auto check_one = [&](const std::string& log, const replicated_log& replica) {
             if (!replica.raft().holds_lease(now_)) {
@@ -437,7 +440,8 @@
             }
             const auto [found, added] = holder.emplace(log, name);
             if (!added) {
-                note(fmt::format("two leases on {}: {} and {}", log, found->second, name));
+                record_violation(
+                    fmt::format("two leases on {}: {} and {}", log, found->second, name));
             }
         };
         check_one(zone_of(name), it->plane->domain_log());
@@ -454,17 +458,17 @@
             continue;
         }
         if (const auto wrong = invariants_.check(it->plane->domain().groups()); !wrong.empty()) {
-            note(fmt::format("{}: {}", name, wrong));
+            record_violation(fmt::format("{}: {}", name, wrong));
         }
         for (const auto& place : it->plane->targets(now_, [](const runner_id&) { return 0; })) {
             if (!place.group || place.draining || now_ >= place.valid_until) {
                 continue;
             }
-            // A runner that checks no epoch would take this request as its new group's.
+            // A runner that does not check epochs would accept this request for its new group.
             const auto& engine = engines_.at(place.upstream.str().substr(2));
             if (!engine.checks_epoch && engine.state.assignment != place.assignment) {
-                note(name + " may send to " + place.group->str() + " what runner " +
-                     place.upstream.str() + " would take for another group");
+                record_violation(name + " may send to " + place.group->str() + " what runner " +
+                                 place.upstream.str() + " would take for another group");
             }
         }
     }
@@ -477,18 +481,19 @@
             continue;
         }
         const auto& accepted = it->plane->domain().accepted();
-        // At revision 0 a daemon takes no calls: a zone that lost its only disk begins there.
+        // A daemon at revision 0 takes no calls. A zone that lost its only disk restarts there.
         const bool takes_calls = it->plane->granted_at(now_) && accepted.revision() > 0;
         if (takes_calls) {
             if (accepted.revision() < it->newest_revision) {
-                note(name + " went back to revision " + std::to_string(accepted.revision()));
+                record_violation(name + " went back to revision " +
+                                 std::to_string(accepted.revision()));
             }
             it->newest_revision = accepted.revision();
         }
         if (accepted.revision() > 0) {
             const auto [found, added] = texts_.emplace(accepted.revision(), accepted.text());
             if (!added && found->second != accepted.text()) {
-                note("two texts of revision " + std::to_string(accepted.revision()));
+                record_violation("two texts of revision " + std::to_string(accepted.revision()));
             }
         }
     }
