--- a/include/cedarpoint/consensus/election_status.h
+++ b/include/cedarpoint/consensus/election_status.h
@@ -31,11 +31,11 @@
 
 /// What one member has recorded about another since its own start.
 struct election_contact {
-    std::optional<instant> heard; ///< when its latest message of any kind arrived
-    int votes_asked = 0;          ///< votes and pre-votes requested from it
-    int votes_granted = 0;        ///< of these
-    int votes_refused = 0;        ///< of these; the rest are unanswered
-    int votes_taken = 0;          ///< votes and pre-votes that it requested
+    std::optional<instant> heard;    ///< when its latest message of any kind arrived
+    int votes_requested = 0;         ///< votes and pre-votes requested from it
+    int votes_granted = 0;           ///< of these
+    int votes_refused = 0;           ///< of these; the rest are unanswered
+    int votes_requested_by_peer = 0; ///< votes and pre-votes that it requested
     vote_refusal latest_answer = vote_refusal::none; ///< the answer to its latest request
 };
 
--- a/include/cedarpoint/consensus/replicated_log.h
+++ b/include/cedarpoint/consensus/replicated_log.h
@@ -77,7 +77,7 @@
     /// Returns the permanent failure after which the process should end; empty if there is none.
     [[nodiscard]] const std::optional<reason>& failure() const { return failure_; }
     /// Returns why the latest disk write failed; empty if it succeeded.
-    [[nodiscard]] const std::optional<reason>& refused_write() const { return refused_write_; }
+    [[nodiscard]] const std::optional<reason>& write_failure() const { return write_failure_; }
     /// Returns the index of the last applied entry; 0 if there is none.
     [[nodiscard]] std::uint64_t applied() const { return applied_; }
 
@@ -112,7 +112,7 @@
     std::map<std::uint64_t, pending> pending_;
     std::uint64_t applied_ = 0;
     std::optional<reason> failure_;
-    std::optional<reason> refused_write_;
+    std::optional<reason> write_failure_;
     std::optional<raft_output> unwritten_output_; ///< output whose write failed
     instant write_retry_at_;
     bool snapshot_unsaved_ = false; ///< the raft node's snapshot is newer than the stored one
--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -111,8 +111,8 @@
     /// Returns the permanent failure of either log, after which the process must end; empty if
     /// there is none.
     [[nodiscard]] std::optional<reason> failure() const;
-    /// Returns replicated_log::refused_write of the domain's log or, if empty, of the root's.
-    [[nodiscard]] std::optional<reason> refused_write() const;
+    /// Returns replicated_log::write_failure of the domain's log or, if empty, of the root's.
+    [[nodiscard]] std::optional<reason> write_failure() const;
 
 private:
     class domain_machine;
--- a/src/consensus/raft_node_elections.cpp
+++ b/src/consensus/raft_node_elections.cpp
@@ -85,7 +85,7 @@
     out.set_last_term(last_term());
     for (const auto& it : members_.members()) {
         if (it.voter() && it.id() != self_.str()) {
-            ++contacts_[member_id{it.id()}].votes_asked;
+            ++contacts_[member_id{it.id()}].votes_requested;
             send(member_id{it.id()}, out);
         }
     }
@@ -142,7 +142,7 @@
 {
     const auto why = in.term() > hard_.term() ? refusal_for(now, in) : vote_refusal::old_term;
     auto& contact = contact_of(from);
-    ++contact.votes_taken;
+    ++contact.votes_requested_by_peer;
     contact.latest_answer = why;
     auto out = make(msg::pre_vote_reply, hard_.term());
     out.set_ok(why == vote_refusal::none);
@@ -152,7 +152,7 @@
 void raft_node::on_vote(instant now, const member_id& from, const msg& in)
 {
     auto& contact = contact_of(from);
-    ++contact.votes_taken;
+    ++contact.votes_requested_by_peer;
     contact.latest_answer = refusal_for_all(now);
     if (contact.latest_answer != vote_refusal::none) {
         return; // it follows a leader, or an earlier lease may not have expired
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -165,10 +165,10 @@
     }
     reason why;
     if (!store_->append(out.batch, why)) {
-        refused_write_ = why;
+        write_failure_ = why;
         return false;
     }
-    refused_write_.reset();
+    write_failure_.reset();
     return true;
 }
 
@@ -180,10 +180,10 @@
     }
     reason why;
     if (!store_->save_snapshot(snapshot, raft_.rest(), why)) {
-        refused_write_ = why;
+        write_failure_ = why;
         return false;
     }
-    refused_write_.reset();
+    write_failure_.reset();
     snapshot_unsaved_ = false;
     return true;
 }
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -39,12 +39,12 @@
     return root_log_ == nullptr ? std::nullopt : root_log_->failure();
 }
 
-std::optional<reason> control_plane::refused_write() const
+std::optional<reason> control_plane::write_failure() const
 {
-    if (domain_log_->refused_write()) {
-        return domain_log_->refused_write();
+    if (domain_log_->write_failure()) {
+        return domain_log_->write_failure();
     }
-    return root_log_ == nullptr ? std::nullopt : root_log_->refused_write();
+    return root_log_ == nullptr ? std::nullopt : root_log_->write_failure();
 }
 
 int control_plane::stranded_accelerators(instant now) const
--- a/src/daemon/caller_gateway.cpp
+++ b/src/daemon/caller_gateway.cpp
@@ -39,7 +39,7 @@
         it.call->cancel();
     }
     for (auto& [id, it] : exchanges_) {
-        it.reply->on_gone = nullptr;
+        it.reply->on_caller_disconnected = nullptr;
         it.reply->on_drained = nullptr;
     }
 }
@@ -106,7 +106,7 @@
         refuse_now(*reply, error, id.str());
         return;
     }
-    reply->on_gone = [this, id] {
+    reply->on_caller_disconnected = [this, id] {
         perform(core_.caller_gone(steady_now(), id));
         exchanges_.erase(id);
     };
@@ -195,7 +195,7 @@
     }
     const auto reply = found->second.reply;
     exchanges_.erase(found);
-    reply->on_gone = nullptr;
+    reply->on_caller_disconnected = nullptr;
     reply->on_drained = nullptr;
     refuse_now(*reply, it.error, it.request.str());
 }
--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -53,7 +53,7 @@
         perform(core_.attempt_ended(steady_now(), id, attempt_end::refused));
         return;
     }
-    if (head.status >= first_server_error && core_.wants_server_error(id)) {
+    if (head.status >= first_server_error && core_.must_report_server_error(id)) {
         it.call->cancel();
         retire(id);
         perform(core_.attempt_ended(steady_now(), id, attempt_end::server_error));
@@ -148,7 +148,8 @@
 void caller_gateway::on_end(attempt_id id, call_end how, const reason& why)
 {
     auto& it = attempts_.at(id.value);
-    const bool ends_within_event = it.events != nullptr && it.events->has_rest() && !it.finished;
+    const bool ends_within_event =
+        it.events != nullptr && it.events->has_partial_event() && !it.finished;
     const bool whole = (how == call_end::complete && !ends_within_event) || it.finished;
     if (whole) {
         finish(id, it);
@@ -166,7 +167,7 @@
         // that the body is incomplete.
         const auto request = it.request;
         const auto reply = exchanges_.at(request).reply;
-        reply->on_gone = nullptr;
+        reply->on_caller_disconnected = nullptr;
         reply->abort();
         exchanges_.erase(request);
         retire(id);
@@ -182,7 +183,7 @@
 {
     auto& to = exchanges_.at(it.request);
     const auto reply = to.reply;
-    reply->on_gone = nullptr;
+    reply->on_caller_disconnected = nullptr;
     reply->on_drained = nullptr;
     if (it.events != nullptr) {
         begin_answer(id, it, to);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -54,7 +54,7 @@
     out.limit_share = own.peers.empty() ? 1.0 : 1.0 / static_cast<double>(own.peers.size());
     // No leader distributes rates in this setup. A quarter of each rate is left unused, for times
     // at which several daemons send at once.
-    out.permits.used_part = 0.75;
+    out.permits.rate_fraction = 0.75;
     out.permits.daemons = std::max<std::size_t>(own.peers.size(), 1);
     out.permits.seed = hash_of(own.id.str());
     return out;
@@ -191,7 +191,7 @@
     if (mesh_ != nullptr) {
         mesh_->drain();
     }
-    disk_.note(control_->refused_write());
+    disk_.note(control_->write_failure());
     if (!check_durability()) {
         return;
     }
--- a/src/io/http_connection.cpp
+++ b/src/io/http_connection.cpp
@@ -248,8 +248,8 @@
     if (reply_ != nullptr) {
         const auto kept = std::exchange(reply_, nullptr);
         kept->connection_ = nullptr;
-        if (kept->on_gone) {
-            kept->on_gone();
+        if (kept->on_caller_disconnected) {
+            kept->on_caller_disconnected();
         }
     }
     deleteLater();
--- a/src/io/http_listener.h
+++ b/src/io/http_listener.h
@@ -39,7 +39,8 @@
     /// Returns the number of bytes that are not yet written to the connection.
     [[nodiscard]] std::size_t buffered() const;
 
-    std::function<void()> on_gone;    ///< called if the caller disconnects before the end
+    /// Called if the caller disconnects before the end.
+    std::function<void()> on_caller_disconnected;
     std::function<void()> on_drained; ///< called when buffered bytes were written
 
 private:
--- a/src/io/mesh.cpp
+++ b/src/io/mesh.cpp
@@ -98,7 +98,7 @@
     return true;
 }
 
-bool mesh::start_open(const endpoint& at, reason& why)
+bool mesh::start_unauthenticated(const endpoint& at, reason& why)
 {
     accepts_unknown_peers_ = true;
     try {
--- a/src/io/mesh.h
+++ b/src/io/mesh.h
@@ -29,7 +29,7 @@
     bool start(const settings& own, const std::string& secret_key, reason& why);
     /// Listens at `at` for daemons that are not listed in the settings. Messages from any sender
     /// are accepted, and the id of a daemon is its address.
-    bool start_open(const endpoint& at, reason& why);
+    bool start_unauthenticated(const endpoint& at, reason& why);
     /// Connects to a daemon whose id is its address.
     void add_peer(const daemon_id& peer);
     void remove_peer(const daemon_id& peer);
--- a/src/io/runner_signal_log.cpp
+++ b/src/io/runner_signal_log.cpp
@@ -54,7 +54,7 @@
 
 } // namespace
 
-void log_signals(const runner_id& runner, const answer_signals& in, const signal_news& news,
+void log_signals(const runner_id& runner, const answer_signals& in, const new_signals& news,
                  const std::string& request)
 {
     log_rate_limit(runner, in.rate_limit, news.rate_limit, request);
--- a/src/io/sse_splitter.h
+++ b/src/io/sse_splitter.h
@@ -17,7 +17,7 @@
     /// exceeds `max_event`.
     bool put(std::string_view bytes, const std::function<void(std::string_view)>& visit);
     /// Returns true if the last event is incomplete.
-    [[nodiscard]] bool has_rest() const { return !rest_.empty(); }
+    [[nodiscard]] bool has_partial_event() const { return !rest_.empty(); }
 
 private:
     std::string rest_;
--- a/tests/consensus/replicated_log_disk_test.cpp
+++ b/tests/consensus/replicated_log_disk_test.cpp
@@ -144,7 +144,7 @@
     run(seconds{1});
     first->files.fail_write(0, 7);
     propose("b");
-    EXPECT_TRUE(first->log->refused_write());
+    EXPECT_TRUE(first->log->write_failure());
     EXPECT_FALSE(first->log->propose(now, "c", {})) << "it takes nothing that it can't keep";
     run(seconds{3});
     EXPECT_EQ(answered, "a;") << "what is not durable is not acknowledged";
@@ -156,7 +156,7 @@
 
     first->files.work_again();
     run(seconds{3});
-    EXPECT_FALSE(first->log->refused_write());
+    EXPECT_FALSE(first->log->write_failure());
     EXPECT_EQ(first->state.text(), second->state.text());
     EXPECT_NE(second->state.text().find("a;"), std::string::npos);
     EXPECT_NE(second->state.text().find("d;"), std::string::npos);
@@ -175,7 +175,7 @@
     run(seconds{2});
     EXPECT_EQ(answered, "a;") << "the other two are a quorum";
     EXPECT_EQ(full->state.text(), "");
-    EXPECT_TRUE(full->log->refused_write());
+    EXPECT_TRUE(full->log->write_failure());
 
     full->files.work_again();
     run(seconds{2});
--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -171,7 +171,7 @@
     const endpoint at{"127.0.0.1", silent->serverPort()};
     reason why;
     mesh sender{[](const wire::envelope&) {}};
-    ASSERT_TRUE(sender.start_open({"127.0.0.1", 0}, why)) << why.str();
+    ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
     const daemon_id peer{at.str()};
     sender.add_peer(peer);
     std::unique_ptr<QTcpSocket> taken;
@@ -182,7 +182,7 @@
     silent->close(); // the accepted connection stays open, as in a stopped process
     bool heard = false;
     mesh receiver{[&](const wire::envelope&) { heard = true; }};
-    ASSERT_TRUE(receiver.start_open(at, why)) << why.str();
+    ASSERT_TRUE(receiver.start_unauthenticated(at, why)) << why.str();
     wire::envelope word;
     word.set_from("sender");
     const auto begun = std::chrono::steady_clock::now();
