--- a/include/cedarpoint/fleet/group_placement.h
+++ b/include/cedarpoint/fleet/group_placement.h
@@ -2,8 +2,8 @@
 
 #include "cedarpoint/core/ids.h"
 #include "cedarpoint/core/time.h"
-#include "cedarpoint/fleet/load_limiter.h"
 #include "cedarpoint/fleet/placement_snapshot.h"
+#include "cedarpoint/fleet/weight_load_limiter.h"
 
 #include <cstddef>
 #include <optional>
@@ -26,8 +26,7 @@
 /// runners that can join soonest.
 ///
 /// Before the first request, groups load weights while they form. Once there is traffic, no group
-/// waits for weights: loading takes 12 s or more and blocks runners that could serve elsewhere
-/// (staging the weights instead raised the result of a measured run from 0.40 to 0.68).
+/// waits for weights: loading takes 12 s or more and blocks runners that could serve elsewhere.
 /// `weight_staging` copies weights to the hosts of free runners instead. Weights are loaded only in
 /// a domain that prefers the model.
 class group_placement {
@@ -35,7 +34,7 @@
     /// Returns the group with the lowest cost that fits and may load its weights now; empty if
     /// there is none.
     [[nodiscard]] static std::optional<proposed_group>
-    propose(instant now, const placement_snapshot& in, const load_limiter& loads);
+    propose(instant now, const placement_snapshot& in, const weight_load_limiter& loads);
 
 private:
     [[nodiscard]] static std::optional<proposed_group> propose_in(const placement_snapshot& in,
--- a/include/cedarpoint/fleet/retry_policy.h
+++ b/include/cedarpoint/fleet/retry_policy.h
@@ -71,14 +71,14 @@
 
 /// How a request ends that no attempt has served.
 enum class final_answer {
-    break_off,    ///< the caller has part of a stream: its connection is aborted
+    abort_stream, ///< the caller has part of a stream: its connection is aborted
     pass_failure, ///< the caller receives the failed runner's answer
     not_run,      ///< 503: the request has not run and will not, or may run twice
     unknown       ///< 502: the request may have run
 };
 
 /// State of a request that gets no further attempt.
-struct give_up_facts {
+struct final_answer_facts {
     bool has_begun = false;   ///< the caller has received part of a stream
     bool has_failure = false; ///< a runner has given a complete answer with an error status
     int failure_status = 0;   ///< status of that answer
@@ -93,6 +93,6 @@
            status == http_status::service_unavailable;
 }
 
-[[nodiscard]] final_answer choose_final_answer(const give_up_facts& facts);
+[[nodiscard]] final_answer choose_final_answer(const final_answer_facts& facts);
 
 } // namespace cedarpoint
--- a/src/control_daemon/control_daemon_start.cpp
+++ b/src/control_daemon/control_daemon_start.cpp
@@ -111,7 +111,7 @@
     leader_.set_event_handler(log_group);
     leader_.on_unreadable_configuration = log_unreadable;
     leader_.on_crashes = log_crashes;
-    leader_.on_leave_heard = [](const runner_id& runner) {
+    leader_.on_leave_signal = [](const runner_id& runner) {
         log_line("runner_leaving").with("runner", runner.str()).write();
     };
     leader_.on_quarantine = log_quarantine;
@@ -132,7 +132,8 @@
 {
     open_orders();
     open_api();
-    if (!open_log(why) || !mesh_.start_open(settings_.bind.value_or(settings_.address), why) ||
+    if (!open_log(why) ||
+        !mesh_.start_unauthenticated(settings_.bind.value_or(settings_.address), why) ||
         !open_listeners(why)) {
         return false;
     }
@@ -202,12 +203,12 @@
     hooks.on_probe_failed = [this](const runner_id& runner, probe_failure how) {
         on_probe_failed(runner, how);
     };
-    hooks.life_of = [this](const runner_id& runner) {
+    hooks.incarnation_of = [this](const runner_id& runner) {
         const auto* record = leader_.registry().find(runner);
-        return record == nullptr ? birth{} : record->latest.born;
+        return record == nullptr ? incarnation{} : record->latest.born;
     };
-    hooks.on_leaving = [this](const runner_id& runner, birth life) {
-        leader_.on_runner_leaving(runner, life);
+    hooks.on_leaving = [this](const runner_id& runner, incarnation its_incarnation) {
+        leader_.on_runner_leaving(runner, its_incarnation);
     };
     orders_ = std::make_unique<runner_orders>(platform_, std::move(hooks));
 }
--- a/src/control_daemon/runner_orders.h
+++ b/src/control_daemon/runner_orders.h
@@ -34,10 +34,10 @@
         std::function<void(const runner_id&)> on_probe_answered;
         std::function<void(const runner_id&, probe_failure)> on_probe_failed;
         /// Returns the latest known start time of a runner; 0 if unknown.
-        std::function<birth(const runner_id&)> life_of;
-        /// Called when an answer says that the runner leaves. `birth` is the runner's start time as
-        /// known when the call began.
-        std::function<void(const runner_id&, birth)> on_leaving;
+        std::function<incarnation(const runner_id&)> incarnation_of;
+        /// Called when an answer says that the runner leaves. `incarnation` is the runner's start
+        /// time as known when the call began.
+        std::function<void(const runner_id&, incarnation)> on_leaving;
     };
 
     runner_orders(const platform_adapter& platform, hooks hooks);
@@ -47,7 +47,7 @@
 
     /// Sends an order or a probe. Drops the step while the runner has asked this daemon for a
     /// pause; the planner repeats it.
-    void carry_out(const planner_step& step);
+    void execute_step(const planner_step& step);
     /// Cancels all calls without a report, since this process may no longer give orders.
     void cancel_all();
 
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -76,7 +76,7 @@
 
 relay::~relay()
 {
-    reply_->on_gone = nullptr;
+    reply_->on_caller_disconnected = nullptr;
     reply_->on_drained = nullptr;
 }
 
@@ -92,7 +92,7 @@
         finish("caller_gone", "before the request was read");
         return;
     }
-    reply_->on_gone = [this] { on_caller_gone(); };
+    reply_->on_caller_disconnected = [this] { on_caller_gone(); };
     if (!is_admitted()) {
         return;
     }
@@ -143,7 +143,7 @@
     in.target = request_.target;
     in.authorization = fields.get("Authorization");
     in.model = fields.get(names.model);
-    in.patience = parse_milliseconds(fields.get(names.deadline_ms));
+    in.caller_timeout = parse_milliseconds(fields.get(names.deadline_ms));
     admission_ = admit(arrived_, routes_.get(), in, draw(context_.random));
     if (admission_.refusal != admission_refusal::none) {
         answer(local_reply_for(admission_.refusal), "");
@@ -215,8 +215,8 @@
     out.continues_stream = stream_begun_;
     out.longest_idle =
         is_repeatable(facts_) ? longest_idle_if_repeatable : longest_idle_if_not_repeatable;
-    out.first_event_limit = first_event_limit(route.target_latency);
-    out.event_pause_limit = event_pause_limit(route.target_gap);
+    out.first_event_timeout = first_event_timeout(route.target_latency);
+    out.event_gap_timeout = event_gap_timeout(route.target_gap);
     return out;
 }
 
@@ -278,7 +278,7 @@
 {
     if (ended_ || !attempt_->is_running() ||
         !may_send_again(facts_, attempt_outcome::may_have_run) ||
-        may_end_more_runners(attempt_outcome::may_have_run)) {
+        retry_may_crash_runner(attempt_outcome::may_have_run)) {
         return;
     }
     const auto now = steady_now();
@@ -347,7 +347,7 @@
     if (!may_send_again(facts_, verdict.outcome)) {
         give_up(verdict.why);
     }
-    else if (may_end_more_runners(verdict.outcome)) {
+    else if (retry_may_crash_runner(verdict.outcome)) {
         give_up("runners have ended under this request");
     }
     else {
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -11,9 +11,10 @@
 
 runner_attempt::runner_attempt(entry_context& context, const fleet_target& target, options options,
                                handlers handlers)
-    : context_{context}, address_{target.address}, runner_{target.runner}, life_{target.life},
-      group_{target.group}, is_group_head_{!target.model.empty()}, options_{std::move(options)},
-      handlers_{std::move(handlers)}
+    : context_{context}, address_{target.address}, runner_{target.runner},
+      incarnation_{target.its_incarnation}, group_{target.group},
+      is_group_head_{!target.model.empty()}, options_{std::move(options)}, handlers_{
+                                                                               std::move(handlers)}
 {
     stall_timer_.setSingleShot(true);
     stall_timer_.setTimerType(Qt::PreciseTimer);
@@ -116,7 +117,7 @@
     connected_at_ = connection_->connected_at();
     count_held_send(*sent_at_);
     if (options_.expects_stream) {
-        arm_stall_timer(options_.first_event_limit);
+        arm_stall_timer(options_.first_event_timeout);
     }
     handlers_.on_sent();
 }
@@ -145,16 +146,17 @@
     signals_ =
         read_answer_signals({head_->status, fields.values(names.rate_limit),
                              fields.values(retry_after_field), fields.values(names.leaving)});
-    if (signals_.is_of_other_runner) {
+    if (signals_.is_from_other_runner) {
         return;
     }
     auto& holds = context_.targets.holds();
     if (signals_.asks_for_pause()) {
-        holds.on_pause(now, runner_, life_, signals_.pause.time);
+        holds.on_pause(now, runner_, incarnation_, signals_.pause.time);
     }
-    signal_news news;
+    new_signals news;
     news.rate_limit = record_rate_limit(now);
-    news.leave = signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, life_);
+    news.leave =
+        signals_.leave == leave_reading::leaving && holds.on_leaving(now, runner_, incarnation_);
     log_signals(runner_, signals_, news, options_.id);
     if (news.rate_limit || news.leave) {
         // Other daemons go on sending there until the leader publishes the change.
@@ -208,7 +210,7 @@
         context_.targets.on_wait(runner_, now - *latest_event_at_);
     }
     latest_event_at_ = now;
-    arm_stall_timer(options_.event_pause_limit);
+    arm_stall_timer(options_.event_gap_timeout);
 }
 
 void runner_attempt::arm_stall_timer(milliseconds limit)
@@ -244,11 +246,11 @@
 attempt_verdict runner_attempt::judge_complete() const
 {
     if (streaming_) {
-        return judge_stream_end(events_.has_rest());
+        return judge_stream_end(events_.has_partial_event());
     }
     answer_facts facts;
     facts.status = head_->status;
-    facts.disclaims = head_->fields.has(context_.platform.headers().not_executed);
+    facts.reports_not_executed = head_->fields.has(context_.platform.headers().not_executed);
     facts.is_authentic = is_authentic(*head_);
     facts.caller_has_events = options_.continues_stream;
     facts.asks_for_pause = signals_.asks_for_pause();
--- a/src/fleet/retry_policy.cpp
+++ b/src/fleet/retry_policy.cpp
@@ -9,10 +9,10 @@
     return names.at(static_cast<std::size_t>(outcome));
 }
 
-final_answer choose_final_answer(const give_up_facts& facts)
+final_answer choose_final_answer(const final_answer_facts& facts)
 {
     if (facts.has_begun) {
-        return final_answer::break_off;
+        return final_answer::abort_stream;
     }
     // From these statuses the caller would conclude that the request has not run and repeat it, but
     // a runner may have run it.
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -164,8 +164,8 @@
     EXPECT_EQ(site.get(), document(10));
 }
 
-// Guards against refusing the heartbeats of a runner's new life because the old life's numbers were
-// higher; see `a_runner_that_starts_again_under_its_id`.
+// Guards against refusing the heartbeats of a runner's new incarnation because the old
+// incarnation's numbers were higher; see `a_runner_that_starts_again_under_its_id`.
 TEST_F(a_fleet, serves_with_a_runner_that_starts_again_under_its_id)
 {
     shop.clear();
@@ -234,8 +234,10 @@
 {
     ASSERT_TRUE(serves());
     for (const auto& runner : shop) {
-        runner->disclaims = false;
-        runner->turn_away = [](const std::string&) { return std::optional<std::string>{"30"}; };
+        runner->reports_not_executed = false;
+        runner->refuse_request = [](const std::string&) {
+            return std::optional<std::string>{"30"};
+        };
     }
     const auto answer = call(site.callers(), "GET", "/safe/x", headers, "");
     EXPECT_EQ(answer.head.status, 503);
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -28,7 +28,7 @@
       sequence_{sequence}
 {
     QObject::connect(&timer_, &QTimer::timeout, [this] { announce(); });
-    begin_life();
+    begin_incarnation();
 }
 
 void platform_runner::keep_port_open()
@@ -40,7 +40,7 @@
     EXPECT_TRUE(listener_->start(address_, why)) << why.str();
 }
 
-void platform_runner::begin_life()
+void platform_runner::begin_incarnation()
 {
     is_down_ = false;
     listener_.reset();
@@ -64,14 +64,14 @@
     ends.push_back(steady_now());
     timer_.stop();
     listener_.reset();
-    if (port_is_kept) {
+    if (keeps_port_open) {
         keep_port_open();
     }
     group_.clear();
     state_.clear();
     sequence_ = 0;
     ++born_;
-    QTimer::singleShot(time_away, &timer_, [this] { begin_life(); });
+    QTimer::singleShot(restart_delay, &timer_, [this] { begin_incarnation(); });
 }
 
 std::string platform_runner::announcement_text()
@@ -149,15 +149,15 @@
         reply->send(std::move(head), "");
         return;
     }
-    if (is_turned_away(request, reply)) {
+    if (is_refused(request, reply)) {
         return;
     }
     auto head = make_head(request);
     ++served_;
     arrivals.push_back({steady_now(), std::string{request.fields.get("X-Cedarpoint-Request-Id")},
                         request.body, !rate_limit.empty()});
-    if (!ended_by.empty() && request.body.find(ended_by) != std::string::npos) {
-        QTimer::singleShot(time_to_end, &timer_, [this] { crash(); });
+    if (!crash_trigger.empty() && request.body.find(crash_trigger) != std::string::npos) {
+        QTimer::singleShot(crash_delay, &timer_, [this] { crash(); });
         return;
     }
     if (service_ == "pool") {
@@ -191,19 +191,20 @@
     return out;
 }
 
-bool platform_runner::is_turned_away(const http_request& request,
-                                     const std::shared_ptr<http_reply>& reply)
+bool platform_runner::is_refused(const http_request& request,
+                                 const std::shared_ptr<http_reply>& reply)
 {
-    if (!turn_away) {
+    if (!refuse_request) {
         return false;
     }
-    const auto retry_after = turn_away(std::string{request.fields.get("X-Cedarpoint-Request-Id")});
+    const auto retry_after =
+        refuse_request(std::string{request.fields.get("X-Cedarpoint-Request-Id")});
     if (!retry_after) {
         return false;
     }
     auto head = make_head(request);
     head.status = 503;
-    if (disclaims) {
+    if (reports_not_executed) {
         head.fields.add("X-Cedarpoint-Not-Executed", "1");
     }
     if (!retry_after->empty()) {
@@ -213,9 +214,9 @@
     return true;
 }
 
-void platform_runner::be_silent(bool silent)
+void platform_runner::set_heartbeats_stopped(bool stopped)
 {
-    if (silent) {
+    if (stopped) {
         timer_.stop();
     }
     else {
