--- a/tests/daemon/at_most_once_test.cpp
+++ b/tests/daemon/at_most_once_test.cpp
@@ -139,7 +139,7 @@
     EXPECT_EQ(at.arrivals("one pot"), 1);
 }
 
-TEST(a_claimed_key, whose_daemon_died_in_the_middle_may_have_run)
+TEST(a_claimed_key, whose_daemon_restarted_during_the_run_may_have_run)
 {
     site at{{}};
     ASSERT_TRUE(at.wait_serving());
--- a/tests/daemon/bad_input_test.cpp
+++ b/tests/daemon/bad_input_test.cpp
@@ -52,7 +52,7 @@
     }
 }
 
-TEST(oversized_requests, are_refused_before_they_are_read_whole)
+TEST(oversized_requests, are_refused_before_they_are_read_completely)
 {
     site::options how;
     how.limits.max_body_bytes = 10'000;
@@ -85,7 +85,7 @@
     EXPECT_TRUE(caller.wait_for("[DONE]"));
 }
 
-TEST(bodies, that_are_not_what_they_should_be_say_why)
+TEST(bodies, that_are_malformed_are_refused)
 {
     site at{{}};
     const std::string deep = std::string(5000, '[') + std::string(5000, ']');
@@ -102,7 +102,7 @@
     }
 }
 
-TEST(headers, that_are_not_what_they_should_be_say_why)
+TEST(headers, with_invalid_values_are_refused)
 {
     site at{{}};
     for (const auto* line : {"Cedarpoint-Priority: urgent", "Cedarpoint-Deadline-Ms: soon",
@@ -113,7 +113,7 @@
     }
 }
 
-TEST(strangers_and_unknown_names, are_told_so)
+TEST(unknown_keys_and_paths, are_refused)
 {
     site at{{}};
     EXPECT_EQ(status_of(answer_to(at, chat_request({.key = "wrong"}))), 401);
@@ -146,7 +146,7 @@
     EXPECT_FALSE(at.it().is_stopping());
 }
 
-TEST(slow_senders, are_given_up)
+TEST(slow_senders, time_out)
 {
     site::options how;
     how.limits.head_timeout = milliseconds{150};
@@ -160,7 +160,7 @@
     EXPECT_TRUE(silent.wait_closed());
 }
 
-TEST(a_flood_of_connections, is_bounded)
+TEST(connections_over_the_limit, are_refused)
 {
     site::options how;
     how.limits.max_connections = 20;
--- a/tests/daemon/planned_stop_test.cpp
+++ b/tests/daemon/planned_stop_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(at.arrivals("queued"), 0);
 }
 
-TEST(a_planned_stop, lets_a_stream_move_when_its_group_dies_meanwhile)
+TEST(a_planned_stop, resumes_a_stream_elsewhere_when_its_group_crashes_meanwhile)
 {
     site at{{.groups = 2, .stop_bound = milliseconds{30'000}}};
     ASSERT_TRUE(at.wait_serving());
--- a/tests/daemon/whole_answer_test.cpp
+++ b/tests/daemon/whole_answer_test.cpp
@@ -18,7 +18,7 @@
     return out;
 }
 
-TEST(whole_answer, comes_streamed_and_unstreamed)
+TEST(whole_answer, is_sent_streamed_and_unstreamed)
 {
     site at{{}};
     ASSERT_TRUE(at.wait_serving());
@@ -32,7 +32,7 @@
     EXPECT_EQ(status_of(whole.received()), 200);
 }
 
-TEST(whole_answer, keeps_to_its_place_among_pipelined_requests)
+TEST(whole_answer, keeps_its_order_among_pipelined_requests)
 {
     site at{{}};
     ASSERT_TRUE(at.wait_serving());
@@ -77,7 +77,7 @@
     }
 }
 
-TEST(whole_answer, is_resumed_when_a_group_dies_in_the_middle)
+TEST(whole_answer, is_resumed_when_its_group_crashes_mid_stream)
 {
     site at{{.groups = 2}};
     ASSERT_TRUE(at.wait_serving());
@@ -90,7 +90,7 @@
     EXPECT_EQ(tokens_in(caller.received()), count_to(400));
 }
 
-TEST(whole_answer, never_holds_a_torn_event)
+TEST(whole_answer, never_contains_a_truncated_event)
 {
     for (const auto stage :
          {fault_stage::after_request, fault_stage::after_head, fault_stage::mid_answer,
@@ -107,7 +107,7 @@
     }
 }
 
-TEST(whole_answer, without_a_stream_is_whole_or_an_error)
+TEST(whole_answer, without_a_stream_is_complete_or_an_error)
 {
     site at{{.groups = 1}};
     ASSERT_TRUE(at.wait_serving());
@@ -148,7 +148,7 @@
     EXPECT_EQ(caller.received().find("not yours"), std::string::npos);
 }
 
-TEST(slow_callers, hold_the_runner_back_in_bounded_memory)
+TEST(slow_callers, throttle_the_runner_in_bounded_memory)
 {
     site::options how;
     how.engine.token_ms = 0;
@@ -169,7 +169,7 @@
     EXPECT_EQ(tokens_in(slow.received()), count_to(tokens));
 }
 
-TEST(callers_that_leave, have_their_stream_cancelled_and_their_place_freed)
+TEST(callers_that_disconnect, have_their_stream_cancelled_and_their_slot_freed)
 {
     site at{{.slots = 1}};
     ASSERT_TRUE(at.wait_serving());
--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -88,7 +88,7 @@
     mesh b{[this](const wire::envelope&) { ++at_b; }};
 };
 
-TEST(daemons, hear_each_other_in_the_clear)
+TEST(daemons, exchange_messages_without_encryption)
 {
     daemon_pair it{{}, {}};
     EXPECT_TRUE(wait_until([&] {
@@ -97,7 +97,7 @@
     }));
 }
 
-TEST(daemons, with_the_fleets_keys_hear_each_other)
+TEST(daemons, with_the_fleets_keys_exchange_messages)
 {
     const auto keys = make_keys();
     daemon_pair it{keys, keys};
@@ -107,7 +107,7 @@
     }));
 }
 
-TEST(daemons, without_the_fleets_keys_are_not_heard)
+TEST(daemons, without_the_fleets_keys_are_ignored)
 {
     const auto keys = make_keys();
     for (const auto& strangers : {make_keys(), key_pair{}}) {
@@ -126,7 +126,7 @@
     }
 }
 
-TEST(a_stranger, that_knows_only_the_open_key_is_not_heard)
+TEST(a_client, that_knows_only_the_public_key_is_ignored)
 {
     const auto keys = make_keys();
     const auto own = make_keys();
@@ -149,7 +149,7 @@
     EXPECT_EQ(proper.at_a, 0);
 }
 
-TEST(daemons, that_are_not_named_in_the_settings_are_not_heard)
+TEST(daemons, that_are_not_listed_in_the_settings_are_ignored)
 {
     daemon_pair it{{}, {}};
     int rounds = 0;
@@ -164,7 +164,7 @@
     EXPECT_EQ(it.at_a, 0);
 }
 
-TEST(a_peer, that_takes_the_connection_and_does_not_speak_is_tried_again)
+TEST(a_peer, that_accepts_the_connection_and_sends_nothing_is_retried)
 {
     auto silent = std::make_unique<QTcpServer>();
     ASSERT_TRUE(silent->listen(QHostAddress::LocalHost));
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -101,7 +101,7 @@
     EXPECT_EQ(runner.connections, 1);
 }
 
-TEST(a_kept_connection, is_not_used_again_after_bytes_that_nobody_asked_for)
+TEST(a_kept_connection, is_not_reused_after_unsolicited_bytes)
 {
     scripted_runner runner{{whole + whole, whole}};
     runner_pool pool;
@@ -113,7 +113,7 @@
     EXPECT_EQ(runner.connections, 2);
 }
 
-TEST(an_answer, to_an_earlier_request_is_passed_over)
+TEST(an_answer, to_an_earlier_request_is_skipped)
 {
     scripted_runner runner{
         {"HTTP/1.1 200 OK\r\nX-Id: r0\r\nContent-Length: 5\r\n\r\nwrong" + whole}};
@@ -124,7 +124,7 @@
     EXPECT_EQ(out.body, "ok");
 }
 
-TEST(an_answer, without_a_length_is_whole_only_if_its_connection_ends_in_order)
+TEST(an_answer, without_a_length_is_complete_only_after_an_orderly_close)
 {
     const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nhalf or whole";
     outcome out;
@@ -143,7 +143,7 @@
     EXPECT_EQ(*broken.end, exchange_end::cut);
 }
 
-TEST(an_answer, that_ends_early_is_cut)
+TEST(an_answer, that_ends_early_is_reported_as_cut)
 {
     scripted_runner runner{{"HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 9\r\n\r\nok"}};
     runner.close_after = true;
@@ -153,7 +153,7 @@
     EXPECT_EQ(*out.end, exchange_end::cut);
 }
 
-TEST(an_address, where_nothing_listens_is_told_from_a_cut_answer)
+TEST(an_address, where_nothing_listens_is_reported_as_refused)
 {
     endpoint nowhere;
     {
@@ -167,7 +167,7 @@
     EXPECT_EQ(*out.end, exchange_end::refused);
 }
 
-TEST(a_log, never_waits_for_a_reader)
+TEST(a_log, never_blocks_on_its_reader)
 {
     std::array<int, 2> pipe_ends{};
     ASSERT_EQ(::pipe(pipe_ends.data()), 0);
@@ -195,7 +195,7 @@
     ::close(pipe_ends[1]);
 }
 
-TEST(lines_of_one_kind, are_bounded_and_counted)
+TEST(lines_of_one_kind, are_limited_in_rate_and_counted)
 {
     log_rate rate{10};
     int written = 0;
--- a/tests/io/upstream_call_test.cpp
+++ b/tests/io/upstream_call_test.cpp
@@ -10,7 +10,7 @@
 
 using testing_support::wait_until;
 
-TEST(a_call, to_a_runner_that_falls_silent_ends_as_cut)
+TEST(a_call, to_a_runner_that_stops_sending_ends_as_cut)
 {
     QTcpServer silent;
     ASSERT_TRUE(silent.listen(QHostAddress::LocalHost));
@@ -31,7 +31,7 @@
     EXPECT_EQ(why.peer, to.str());
 }
 
-TEST(a_call, that_is_held_back_does_not_count_as_silent)
+TEST(a_call, that_is_paused_does_not_time_out)
 {
     QTcpServer talker;
     ASSERT_TRUE(talker.listen(QHostAddress::LocalHost));
