--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -52,8 +52,9 @@
     // The load balancer distributes requests evenly, so each daemon enforces an equal share of each
     // limit.
     out.limit_share = own.peers.empty() ? 1.0 : 1.0 / static_cast<double>(own.peers.size());
-    // No leader distributes rates in this setup. A quarter of each rate is left unused, for times
-    // at which several daemons send at once.
+    // No leader distributes rates in this setup: each daemon issues its own permits, starting at a
+    // random time. A quarter of each rate is left unused, because permits of several daemons can
+    // coincide.
     out.permits.rate_fraction = 0.75;
     out.permits.daemons = std::max<std::size_t>(own.peers.size(), 1);
     out.permits.seed = hash_of(own.id.str());
@@ -89,7 +90,8 @@
     if (!own_.curve_secret_file.empty()) {
         const auto text = files_.read(own_.curve_secret_file, why);
         if (!text || text->size() < key_digits) {
-            why = {"read key", own_.curve_secret_file, "needs a Z85 key of 40 characters"};
+            why = {"read key", own_.curve_secret_file,
+                   "expected a Z85-encoded key of 40 characters"};
             return false;
         }
         secret = text->substr(0, key_digits);
--- a/src/io/disk_watch.cpp
+++ b/src/io/disk_watch.cpp
@@ -12,7 +12,7 @@
     refuses_ = refused.has_value();
     log_line(refuses_ ? "dependency_lost" : "dependency_regained")
         .with("kind", "disk")
-        .with("reason", refused ? refused->str() : "a write worked")
+        .with("reason", refused ? refused->str() : "a write succeeded")
         .write();
 }
 
