--- a/tests/daemon/at_most_once_test.cpp
+++ b/tests/daemon/at_most_once_test.cpp
@@ -103,7 +103,7 @@
     EXPECT_EQ(at.arrivals("one pot"), 1);
 }
 
-TEST(a_runner_that_is_not_there, leaves_the_request_not_run)
+TEST(an_unreachable_runner, leaves_the_request_not_run)
 {
     site at{{}};
     endpoint gone;
@@ -119,7 +119,7 @@
     EXPECT_NE(caller.received().find("Retry-After"), std::string::npos);
 }
 
-TEST(a_claimed_key, runs_once_and_says_so_after_a_restart)
+TEST(a_claimed_key, runs_once_and_is_reported_as_run_after_a_restart)
 {
     site at{{}};
     const std::string headers = "Idempotency-Key: order-17\r\n";
--- a/tests/daemon/bad_input_test.cpp
+++ b/tests/daemon/bad_input_test.cpp
@@ -72,7 +72,7 @@
     EXPECT_EQ(status_of(answer_to(at, chunked)), 413);
 }
 
-TEST(expect_100_continue, is_answered_before_the_body_comes)
+TEST(expect_100_continue, is_answered_before_the_body_is_sent)
 {
     site at{{}};
     ASSERT_TRUE(at.wait_serving());
@@ -178,7 +178,7 @@
     EXPECT_TRUE(all.front()->wait_for("[DONE]"));
 }
 
-TEST(keys_and_prompts, stay_out_of_the_log)
+TEST(keys_and_prompts, are_not_logged)
 {
     testing::internal::CaptureStdout();
     {
--- a/tests/daemon/planned_stop_test.cpp
+++ b/tests/daemon/planned_stop_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace testing_support;
 
-TEST(a_planned_stop, finishes_what_runs_and_refuses_the_rest_as_not_run)
+TEST(a_planned_stop, finishes_running_requests_and_refuses_the_rest_as_not_run)
 {
     site at{{.slots = 2}};
     ASSERT_TRUE(at.wait_serving());
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -89,7 +89,7 @@
 
 const std::string whole = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
 
-TEST(a_kept_connection, serves_one_request_after_the_other)
+TEST(a_persistent_connection, serves_requests_one_after_another)
 {
     scripted_runner runner{{whole, whole}};
     runner_pool pool;
@@ -101,7 +101,7 @@
     EXPECT_EQ(runner.connections, 1);
 }
 
-TEST(a_kept_connection, is_not_reused_after_unsolicited_bytes)
+TEST(a_persistent_connection, is_not_reused_after_unsolicited_bytes)
 {
     scripted_runner runner{{whole + whole, whole}};
     runner_pool pool;
