--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -95,7 +95,7 @@
     it.plane = control_plane::open(now_, std::move(options), it.has_disk ? &it.files : nullptr,
                                    std::move(hooks), why);
     if (it.plane == nullptr) {
-        record_violation(daemon + " does not start: " + why.str());
+        record_violation(daemon + " failed to start: " + why.str());
     }
 }
 
@@ -412,7 +412,7 @@
     // The maximum number of messages in flight. Nine daemons without faults have a few dozen.
     constexpr std::size_t max_in_flight = 2000;
     if (in_flight_.size() > max_in_flight) {
-        record_violation("a storm of messages");
+        record_violation("too many messages in flight");
     }
     check_leases();
     check_routes();
@@ -440,8 +440,8 @@
             }
             const auto [found, added] = holder.emplace(log, name);
             if (!added) {
-                record_violation(
-                    fmt::format("two leases on {}: {} and {}", log, found->second, name));
+                record_violation(fmt::format("two lease holders for log {}: {} and {}", log,
+                                             found->second, name));
             }
         };
         check_one(zone_of(name), it->plane->domain_log());
@@ -467,8 +467,9 @@
             // A runner that does not check epochs would accept this request for its new group.
             const auto& engine = engines_.at(place.upstream.str().substr(2));
             if (!engine.checks_epoch && engine.state.assignment != place.assignment) {
-                record_violation(name + " may send to " + place.group->str() + " what runner " +
-                                 place.upstream.str() + " would take for another group");
+                record_violation(name + " may send to " + place.group->str() +
+                                 " a request that runner " + place.upstream.str() +
+                                 " would accept for another group");
             }
         }
     }
@@ -485,7 +486,7 @@
         const bool takes_calls = it->plane->granted_at(now_) && accepted.revision() > 0;
         if (takes_calls) {
             if (accepted.revision() < it->newest_revision) {
-                record_violation(name + " went back to revision " +
+                record_violation(name + " went back to configuration revision " +
                                  std::to_string(accepted.revision()));
             }
             it->newest_revision = accepted.revision();
@@ -493,7 +494,8 @@
         if (accepted.revision() > 0) {
             const auto [found, added] = texts_.emplace(accepted.revision(), accepted.text());
             if (!added && found->second != accepted.text()) {
-                record_violation("two texts of revision " + std::to_string(accepted.revision()));
+                record_violation("different configuration texts for revision " +
+                                 std::to_string(accepted.revision()));
             }
         }
     }
