--- a/include/cedarpoint/fleet/fleet_state.h
+++ b/include/cedarpoint/fleet/fleet_state.h
@@ -102,11 +102,11 @@
     void note_quarantine(const wire::quarantined_request& in);
 
     /// Maximum number of departures kept; the oldest are dropped to bound memory.
-    static constexpr std::size_t most_departures = 20'000;
+    static constexpr std::size_t max_departures = 20'000;
 
     /// Maximum number of quarantined and lifted requests together. A request that was dropped is
     /// quarantined again only after it has ended runners again.
-    static constexpr std::size_t most_quarantined = 1'000;
+    static constexpr std::size_t max_quarantined = 1'000;
 
     wire::accepted_configuration configuration_;
     std::map<runner_id, departure> departures_;
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -17,7 +17,7 @@
 /// Time limit for a probe, and for the connection attempt of an order or a probe.
 constexpr milliseconds probe_timeout{300};
 /// Longest idle time of a pooled connection that is reused.
-constexpr milliseconds longest_idle{2500};
+constexpr milliseconds max_idle{2500};
 
 bool is_order(const planner_step& step)
 {
@@ -94,7 +94,7 @@
     each->step = step;
     each->its_incarnation = its_incarnation;
     calls_.insert(each);
-    each->connection = pool_.take(step.order.address, longest_idle);
+    each->connection = pool_.take(step.order.address, max_idle);
     start_timer(each);
     start(each);
 }
--- a/src/daemon/loop_pacer.cpp
+++ b/src/daemon/loop_pacer.cpp
@@ -16,8 +16,8 @@
 {
     const auto now = std::chrono::steady_clock::now();
     const auto spent = now - last_round_;
-    if (is_busy_() && spent < shortest_round) {
-        std::this_thread::sleep_for(shortest_round - spent);
+    if (is_busy_() && spent < min_round) {
+        std::this_thread::sleep_for(min_round - spent);
     }
     last_round_ = std::chrono::steady_clock::now();
 }
--- a/src/daemon/loop_pacer.h
+++ b/src/daemon/loop_pacer.h
@@ -11,7 +11,7 @@
 /// not busy.
 class loop_pacer {
 public:
-    static constexpr std::chrono::microseconds shortest_round{1000};
+    static constexpr std::chrono::microseconds min_round{1000};
 
     explicit loop_pacer(std::function<bool()> is_busy) : is_busy_{std::move(is_busy)} {}
 
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -19,9 +19,9 @@
 /// Longest idle time of a pooled connection that is reused for a request that may run only once.
 /// The longer a connection was idle, the likelier the runner closes it while the request is in
 /// transit, and such a request can't be retried.
-constexpr milliseconds longest_idle_if_not_repeatable{1000};
+constexpr milliseconds max_idle_if_not_repeatable{1000};
 /// The same limit for a request that can be retried.
-constexpr milliseconds longest_idle_if_repeatable{4000};
+constexpr milliseconds max_idle_if_repeatable{4000};
 
 /// Bounds the memory of a stream: reading from the runner pauses when more than this many bytes are
 /// buffered for the caller, and resumes when less than half are.
@@ -213,8 +213,7 @@
     out.head_only = request_.method == "HEAD";
     out.expects_stream = is_stream();
     out.continues_stream = stream_begun_;
-    out.longest_idle =
-        is_repeatable(facts_) ? longest_idle_if_repeatable : longest_idle_if_not_repeatable;
+    out.longest_idle = is_repeatable(facts_) ? max_idle_if_repeatable : max_idle_if_not_repeatable;
     out.first_event_timeout = first_event_timeout(route.target_latency);
     out.event_gap_timeout = event_gap_timeout(route.target_gap);
     return out;
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Maximum size of an unpacked document; operators' calls are limited to 16 MB.
-constexpr std::size_t most_document_bytes = 64 << 20;
+constexpr std::size_t max_document_bytes = 64 << 20;
 
 /// Returns the runner; empty if the address is invalid, which no record in the log has.
 std::optional<registered_runner> decode(const wire::registration& in)
@@ -73,7 +73,7 @@
 std::optional<std::string> read_document(const wire::accepted_configuration& in)
 {
     // Logs of earlier versions contain the text unpacked.
-    return in.packed().empty() ? in.text() : unpack(in.packed(), most_document_bytes);
+    return in.packed().empty() ? in.text() : unpack(in.packed(), max_document_bytes);
 }
 
 std::string fleet_state::document() const
@@ -208,7 +208,7 @@
     else if (its_incarnation == known.its_incarnation) {
         known.gone = known.gone || in.gone();
     }
-    while (departure_order_.size() > most_departures) {
+    while (departure_order_.size() > max_departures) {
         departures_.erase(departure_order_.front());
         departure_order_.pop_front();
     }
@@ -226,7 +226,7 @@
     quarantined_.erase(*request);
     lifted_.erase(*request);
     (in.lifted() ? lifted_ : quarantined_).insert(*request);
-    while (quarantine_log_.size() > most_quarantined) {
+    while (quarantine_log_.size() > max_quarantined) {
         const auto oldest = request_fingerprint::parse(quarantine_log_.front().fingerprint());
         quarantined_.erase(*oldest);
         lifted_.erase(*oldest);
--- a/src/fleet/group_lifecycle.cpp
+++ b/src/fleet/group_lifecycle.cpp
@@ -15,7 +15,7 @@
 
 /// A retiring group is not considered idle before this time: entry daemons learn of the retirement
 /// with the next view and report every 200 ms.
-constexpr duration shortest_retirement = milliseconds{500};
+constexpr duration min_retirement = milliseconds{500};
 
 std::string list(const std::vector<runner_id>& members)
 {
@@ -149,7 +149,7 @@
     }
     const auto passed = now - group.since;
     const bool idle = reports_.health_of(now, group.head()).in_flight == 0;
-    if (idle && passed >= shortest_retirement) {
+    if (idle && passed >= min_retirement) {
         enter(now, group, plan_phase::releasing, "no requests in flight");
     }
     else if (passed >= options_.retire_limit) {
--- a/src/io/socket_state.cpp
+++ b/src/io/socket_state.cpp
@@ -12,7 +12,7 @@
 
 /// Longer times are ignored: no caller waits that long for an answer, so they are not the age of a
 /// request.
-constexpr duration longest_wait = std::chrono::hours{1};
+constexpr duration max_wait = std::chrono::hours{1};
 
 duration read_since_data(int descriptor)
 {
@@ -22,7 +22,7 @@
         ::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 &&
         size >= offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
     const duration out = milliseconds{is_available ? info.tcpi_last_data_recv : 0};
-    return out <= longest_wait ? out : duration{};
+    return out <= max_wait ? out : duration{};
 }
 
 } // namespace
