--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -99,7 +99,8 @@
     it.receive(start, b, next);
     const auto written = it.take_output();
     ASSERT_TRUE(written.has_batch);
-    EXPECT_EQ(written.batch.state().commit(), 1U) << "the second is not known to be committed";
+    EXPECT_EQ(written.batch.state().commit(), 1U)
+        << "the second entry is not known to be committed";
     auto kept = memory(1);
     kept.hard = written.batch.state();
     kept.entries.push_back(entry(1, 2));
@@ -115,7 +116,8 @@
     auto it = member_with(memory(1));
     const auto election_timeout = raft_options{}.election_timeout;
     it.tick(start + election_timeout - milliseconds{1});
-    EXPECT_TRUE(it.take_output().messages.empty()) << "a lease that it upheld may still run";
+    EXPECT_TRUE(it.take_output().messages.empty())
+        << "a lease that it acknowledged before the restart may still be valid";
     it.tick(start + election_timeout + election_timeout / 3);
     const auto out = it.take_output();
     ASSERT_EQ(out.messages.size(), 2U);
@@ -239,7 +241,7 @@
     at.reply(b, msg::append_reply, 4, true, 3);
     EXPECT_FALSE(at.it->holds_lease(at.now + milliseconds{900}));
     at.it->tick(at.now + milliseconds{2100});
-    EXPECT_TRUE(at.it->is_leader()) << "two writes longer than without";
+    EXPECT_TRUE(at.it->is_leader()) << "the time limit is extended by the duration of two writes";
     at.it->tick(at.now + milliseconds{2200});
     EXPECT_FALSE(at.it->is_leader());
 
@@ -342,11 +344,11 @@
     options.start = start_mode::first;
     raft_node node{start, a, three(), {}, options, 1};
     elect(node, start + seconds{3});
-    EXPECT_TRUE(node.is_leader()) << "the third may be dead";
+    EXPECT_TRUE(node.is_leader()) << "two of three members are enough";
     const auto out = node.take_output();
     ASSERT_GE(out.batch.entries_size(), 1);
     EXPECT_EQ(out.batch.entries(0).members().members_size(), 3)
-        << "a restart knows the members from the log alone";
+        << "after a restart the members are known only from the log";
 }
 
 TEST(a_voter_that_lost_its_disk, begins_no_log_once_the_system_has_run)
@@ -370,7 +372,8 @@
     elect(node, start + seconds{3});
     ASSERT_TRUE(node.is_leader());
     node.take_output();
-    EXPECT_FALSE(node.propose(start + seconds{9}, "x").has_value()) << "before its next tick";
+    EXPECT_FALSE(node.propose(start + seconds{9}, "x").has_value())
+        << "proposals are refused even before the next tick";
     msg late;
     late.set_kind(msg::append_reply);
     late.set_term(node.term());
@@ -430,13 +433,14 @@
     add_learner(d);
     answer(d);
     EXPECT_FALSE(next_promotion(now, *leader, voters_for(2)).has_value())
-        << "four voters bear no more than three";
+        << "four voters tolerate no more failures than three";
     add_learner(e);
     EXPECT_FALSE(next_promotion(now, *leader, voters_for(2)).has_value())
-        << "e has not followed yet";
+        << "e has not caught up yet";
     answer(d);
     answer(e);
-    EXPECT_FALSE(next_promotion(now, *leader, voters_for(1)).has_value()) << "three are enough";
+    EXPECT_FALSE(next_promotion(now, *leader, voters_for(1)).has_value())
+        << "three voters are enough";
     const auto first = next_promotion(now, *leader, voters_for(2));
     ASSERT_TRUE(first.has_value());
     ASSERT_TRUE(leader->change_membership(now, *first, true, true));
@@ -454,9 +458,11 @@
     const auto wanted = voters_for(1);
     add_learner(d);
     pass(seconds{2}, {b, d});
-    EXPECT_FALSE(next_demotion(now, *leader, wanted).has_value()) << "c is silent for 2 s only";
+    EXPECT_FALSE(next_demotion(now, *leader, wanted).has_value())
+        << "c has been silent for only 2 s";
     pass(seconds{2}, {b});
-    EXPECT_FALSE(next_demotion(now, *leader, wanted).has_value()) << "nobody could replace it";
+    EXPECT_FALSE(next_demotion(now, *leader, wanted).has_value())
+        << "no learner is ready to replace it";
     answer(d);
     ASSERT_EQ(next_demotion(now, *leader, wanted), c);
     EXPECT_FALSE(next_promotion(now, *leader, wanted).has_value());
--- a/tests/consensus/replicated_log_disk_test.cpp
+++ b/tests/consensus/replicated_log_disk_test.cpp
@@ -145,9 +145,10 @@
     first->files.fail_write(0, 7);
     propose("b");
     EXPECT_TRUE(first->log->write_failure());
-    EXPECT_FALSE(first->log->propose(now, "c", {})) << "it takes nothing that it can't keep";
+    EXPECT_FALSE(first->log->propose(now, "c", {}))
+        << "a leader that can't write refuses proposals";
     run(seconds{3});
-    EXPECT_EQ(answered, "a;") << "what is not durable is not acknowledged";
+    EXPECT_EQ(answered, "a;") << "an entry that is not durable is not acknowledged";
     auto* second = leader();
     ASSERT_NE(second, nullptr);
     EXPECT_NE(second, first);
@@ -173,7 +174,7 @@
     full->files.fail_write(0, 3);
     propose("a");
     run(seconds{2});
-    EXPECT_EQ(answered, "a;") << "the other two are a quorum";
+    EXPECT_EQ(answered, "a;") << "the other two replicas form a quorum";
     EXPECT_EQ(full->state.text(), "");
     EXPECT_TRUE(full->log->write_failure());
 
@@ -192,7 +193,7 @@
     propose("b");
     run(seconds{4});
     EXPECT_EQ(answered, "a;");
-    EXPECT_EQ(leader(), nullptr) << "nobody's lease can be renewed";
+    EXPECT_EQ(leader(), nullptr) << "no leader can renew its lease";
 
     for (auto& each : replicas) {
         each.files.work_again();
--- a/tests/control/random_run_test.cpp
+++ b/tests/control/random_run_test.cpp
@@ -179,8 +179,8 @@
         }
         const auto stable = [&] { return is_stable(); };
         if (!world_.run_until(stable, rest_limit) && world_.violation().empty()) {
-            return fmt::format("seed {}: not at rest {} s after everything was mended",
-                               options_.seed, rest_limit.count());
+            return fmt::format("seed {}: not stable {} s after all faults ended", options_.seed,
+                               rest_limit.count());
         }
         return world_.violation();
     }
@@ -255,7 +255,7 @@
         if (!wrong.empty()) {
             std::printf("%s\n", wrong.c_str());
             std::fflush(stdout);
-            ADD_FAILURE() << wrong << "\nneeds:\n"
+            ADD_FAILURE() << wrong << "\noperations that reproduce it:\n"
                           << describe(std::getenv("CEDARPOINT_SHRINK") != nullptr
                                           ? shrink(options, all)
                                           : all);
--- a/tests/storage/log_store_test.cpp
+++ b/tests/storage/log_store_test.cpp
@@ -62,7 +62,8 @@
         memory_files torn;
         torn.files()["data/log"] = full.substr(0, size);
         EXPECT_EQ(entries_at_opening(torn, why), 2) << size;
-        EXPECT_EQ(torn.files().at("data/log").size(), kept) << "the torn tail must be cut off";
+        EXPECT_EQ(torn.files().at("data/log").size(), kept)
+            << "the incomplete record at the end must be removed";
     }
 }
 
