--- a/include/cedarpoint/fleet/announcement.h
+++ b/include/cedarpoint/fleet/announcement.h
@@ -25,8 +25,9 @@
 
 /// Orders the heartbeats of a runner across its incarnations: a heartbeat of an earlier incarnation
 /// precedes all of a later one, regardless of its number. If the clock was set back between two
-/// incarnations, the later one seems to be the earlier: its heartbeats are refused until the
-/// registry removes the other. The runner is unused for that time, but nothing is freed wrongly.
+/// incarnations, the new one appears to be the older: its heartbeats are refused until the registry
+/// removes the record of the previous one. The runner is unused until then, but no member of a
+/// group is freed wrongly.
 struct heartbeat_number {
     incarnation born;
     std::uint64_t sequence = 0;
--- a/include/cedarpoint/fleet/fleet_leader.h
+++ b/include/cedarpoint/fleet/fleet_leader.h
@@ -72,7 +72,7 @@
     }
     /// Called once for each unreadable configuration in the log. The log should contain none.
     std::function<void(std::uint64_t version, const reason&)> on_unreadable_configuration;
-    /// Called when an entry daemon has reported a request during which runners ended.
+    /// Called when an entry daemon has reported a request during which runners crashed.
     std::function<void(instant now, const request_fingerprint&, const crash_history&)> on_crashes;
     /// Called when a runner starts to drain because it announced in an answer that it is leaving.
     std::function<void(const runner_id&)> on_leave_signal;
--- a/include/cedarpoint/fleet/fleet_state.h
+++ b/include/cedarpoint/fleet/fleet_state.h
@@ -104,8 +104,8 @@
     /// Maximum number of departures kept; the oldest are dropped to bound memory.
     static constexpr std::size_t max_departures = 20'000;
 
-    /// Maximum number of quarantined and lifted requests together. A request that was dropped is
-    /// quarantined again only after it has ended runners again.
+    /// Maximum number of quarantined and lifted requests together. The oldest are dropped. A
+    /// dropped request is quarantined again only after it has crashed runners again.
     static constexpr std::size_t max_quarantined = 1'000;
 
     wire::accepted_configuration configuration_;
--- a/include/cedarpoint/fleet/retry_policy.h
+++ b/include/cedarpoint/fleet/retry_policy.h
@@ -42,7 +42,8 @@
            (facts.repeat == repeat_policy::stream && facts.resumable);
 }
 
-/// Whether a request may be sent again after an attempt with this outcome.
+/// Whether a request may be sent again after an attempt with this outcome, if it is repeatable and
+/// if it may run only once.
 struct retry_rule {
     attempt_outcome outcome;
     bool if_repeatable;
@@ -73,7 +74,7 @@
 enum class final_answer {
     abort_stream, ///< the caller has part of a stream: its connection is aborted
     pass_failure, ///< the caller receives the failed runner's answer
-    not_run,      ///< 503: the request has not run and will not, or may run twice
+    not_run,      ///< 503: the request has not run and will not, or is repeatable
     unknown       ///< 502: the request may have run
 };
 
--- a/include/cedarpoint/fleet/target_set.h
+++ b/include/cedarpoint/fleet/target_set.h
@@ -83,8 +83,8 @@
 private:
     using service_model = std::pair<service_id, model_id>;
 
-    /// Returns true if the runner has asked for a pause or said that it leaves. Enters the end of a
-    /// pause into `out`.
+    /// Returns true if the runner has asked for a pause or said that it leaves. For a pause,
+    /// updates the outcome and `pause_ends` in `out`.
     [[nodiscard]] bool is_held(instant now, const runner_id& runner, target_choice& out) const;
 
     failure_domain_id own_domain_;
--- a/include/cedarpoint/fleet/weight_load_limiter.h
+++ b/include/cedarpoint/fleet/weight_load_limiter.h
@@ -19,7 +19,8 @@
 
     /// Returns true if `count` more loads may begin now while `running` loads are in progress.
     [[nodiscard]] bool allows(instant now, std::size_t count, std::size_t running) const;
-    /// Returns true if a load that nothing waits for may begin now: only while no other load runs.
+    /// Returns true if a load that no group waits for may begin now. Unless loads are unmetered, it
+    /// begins only while no other load runs.
     [[nodiscard]] bool allows_background(instant now, std::size_t running) const;
     /// Records that `count` loads begin.
     void begin(instant now, std::size_t count);
--- a/include/cedarpoint/fleet/weight_staging.h
+++ b/include/cedarpoint/fleet/weight_staging.h
@@ -65,21 +65,21 @@
         std::optional<instant> repeat_at;        ///< when to send the order again
     };
     struct plan_step;
-    struct completion;
+    struct completion; ///< the weights that one group still lacks
 
     void repeat_unanswered(plan_step& step);
 
     /// Stages the weights that free runners lack for their next groups.
     void complete_groups(plan_step& step, const fleet_service& service,
                          const std::vector<const engine_model*>& models);
-    /// Returns the completion with the highest value among the runners in `left`, and removes its
-    /// runners from `left`.
+    /// Returns the missing weights of the group with the highest value that the runners in `left`
+    /// can form, and removes the runners of that group from `left`.
     [[nodiscard]] std::optional<completion>
     find_completion(const placement_snapshot& in, const fleet_service& service,
                     const std::vector<const engine_model*>& models, const fabric_domain_id& domain,
                     runner_list& left) const;
-    /// Stages weights of the first of `models` where groups of models with spare capacity could be
-    /// retired for it.
+    /// Stages weights of the first of `models` in the fabric domain that needs the fewest transfers
+    /// for one more group of it, counting runners of groups that could be retired.
     void prepare_conversion(plan_step& step, const fleet_service& service,
                             const std::vector<const engine_model*>& models);
     /// Returns free runners, and members of groups that could be retired for the first of `models`,
@@ -99,8 +99,9 @@
     /// Stages the model on runners that serve another one and hold no second model.
     void stage_alternates(plan_step& step, const fleet_service& service, const engine_model& model);
     [[nodiscard]] bool will_have(const runner_snapshot& runner, const engine_model& model) const;
+    /// Returns true if one more transfer may begin now.
     [[nodiscard]] bool may_load(const plan_step& step) const;
-    /// The same for weights that no group waits for.
+    /// The same for a transfer that no group waits for.
     [[nodiscard]] bool may_load_ahead(const plan_step& step) const;
     void begin(plan_step& step, const runner_snapshot& runner, const engine_model& model);
 
--- a/src/fleet/fleet_leader.cpp
+++ b/src/fleet/fleet_leader.cpp
@@ -48,7 +48,8 @@
     rate_limits_.clear(term);
     quarantine_.clear();
     for (const auto& request : state_.lifted()) {
-        // Entry daemons may report crashes from before the lifting again.
+        // Recorded again in each term, because entry daemons may still report crashes from before
+        // the lifting.
         quarantine_.on_lifted(now, request);
     }
     view_ = {};
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -218,7 +218,7 @@
 {
     const auto request = request_fingerprint::parse(in.fingerprint());
     if (!request) {
-        return; // no version writes such a record
+        return; // invalid fingerprint; no version writes one
     }
     std::erase_if(quarantine_log_,
                   [&](const auto& each) { return each.fingerprint() == in.fingerprint(); });
--- a/src/fleet/group_conversion.cpp
+++ b/src/fleet/group_conversion.cpp
@@ -22,8 +22,8 @@
 /// join.
 constexpr duration conversion_limit = seconds{12};
 
-/// No conversion starts while more than one in this many runners is under conversion. So one
-/// conversion may always be in progress.
+/// No conversion starts while more than one in this many runners is under conversion. The runners
+/// of the new conversion are not counted, so this limit never holds back the first.
 constexpr std::size_t runners_per_converted = 8;
 
 /// A model that has received groups by a conversion gives none for this long, because the averaged
--- a/src/fleet/weight_staging.cpp
+++ b/src/fleet/weight_staging.cpp
@@ -20,8 +20,8 @@
 constexpr duration unanswered_limit = seconds{6};
 
 /// Lower bound of the factor by which a group's value is reduced if few runners of the fabric
-/// domain hold its model. It favours one model in each domain, because the survivors of two groups
-/// of one model can form a third without the store.
+/// domain hold its model. The factor favours one model in each domain, because the remaining
+/// members of two failed groups of the same model can form a group without the store.
 constexpr double min_affinity_factor = 0.1;
 
 /// Added to the load time, so that the value of a group that lacks no weights is finite.
@@ -52,8 +52,8 @@
                        [&](const model_id& model) { return model == *runner.last_model; });
 }
 
-/// Returns the value of a completion per second of loading from the store: the model's utilization
-/// divided by the total load time. Without any load it is finite because of `base_load_s`.
+/// Returns the value of completing a group per second of loading from the store: the model's
+/// utilization divided by the load time of the `lacking` members plus `base_load_s`.
 double completion_worth(const placement_snapshot& in, const fleet_service& service,
                         const engine_model& model, std::size_t lacking)
 {
