--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -105,7 +105,7 @@
     if (daemons.empty()) {
         fmt::print("revision {} is in force everywhere\n", revision);
     }
-    return to_int(daemons.empty() ? exit_code::done : exit_code::not_everywhere);
+    return to_int(daemons.empty() ? exit_code::done : exit_code::not_confirmed);
 }
 
 } // namespace
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -5,12 +5,12 @@
 /// Exit codes of all subcommands; documented in docs/OPERATIONS.md.
 enum class exit_code {
     done = 0,
-    usage = 1,         ///< the command line is wrong
-    bad_file = 2,      ///< a file can't be read or has faults
-    refused = 3,       ///< rejected by the daemon: conflict, faults, unknown request
-    unreachable = 4,   ///< no answer: it is unknown whether the change was made
-    disk_failed = 5,   ///< serve: a write to durable state failed; the process ended at once
-    not_everywhere = 6 ///< apply --wait: accepted, but not confirmed everywhere in time
+    usage = 1,        ///< the command line is wrong
+    bad_file = 2,     ///< a file can't be read or has faults
+    refused = 3,      ///< rejected by the daemon: conflict, faults, unknown request
+    unreachable = 4,  ///< no answer: it is unknown whether the change was made
+    disk_failed = 5,  ///< serve: a write to durable state failed; the process ended at once
+    not_confirmed = 6 ///< apply --wait: accepted, but not confirmed everywhere in time
 };
 
 constexpr int to_int(exit_code it)
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* version_text = "cedarpoint 0.1.0";
 constexpr const char* default_daemon = "127.0.0.1:9100";
-constexpr int longest_apply_wait = 3600; ///< seconds
+constexpr int max_apply_wait_s = 3600; ///< seconds
 
 /// The options of all subcommands, filled by the parser.
 struct arguments {
@@ -109,7 +109,7 @@
         apply
             ->add_option("--wait", in_.wait_seconds,
                          "wait up to this many seconds until the revision is in force")
-            ->check(CLI::Range(0, longest_apply_wait));
+            ->check(CLI::Range(0, max_apply_wait_s));
         apply->add_option("--also", in_.also, "further daemons for --wait to poll, ip:port");
         auto* plan = add_call("plan", "Show what a declarative file would change (dry run)",
                               [this](const endpoint& to) { return run_plan(to, in_.file); });
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -103,7 +103,7 @@
 }
 
 /// Reads logging, limits, durations and the keys for connections between daemons.
-void read_behaviour(json_reader& in, settings& it)
+void read_limits_and_keys(json_reader& in, settings& it)
 {
     it.json_logs = in.boolean_or("json_logs", false);
     in.object("limits", [&](json_reader& e) { read_limits(e, it.limits); });
@@ -126,7 +126,7 @@
     settings it;
     json_reader in{*value, "", out};
     read_identity(in, it);
-    read_behaviour(in, it);
+    read_limits_and_keys(in, it);
     read_peers(in, it);
     in.finish();
     if (it.curve_secret_file.empty() != it.curve_public_key.empty()) {
--- a/tests/compat/names_test.cpp
+++ b/tests/compat/names_test.cpp
@@ -150,7 +150,7 @@
     }
 
     /// Triggers the events that daemons log only occasionally.
-    void make_trouble()
+    void trigger_rare_events()
     {
         for (const auto& runner : runners) {
             runner->fail_next = 1; // an attempt that fails
@@ -204,7 +204,7 @@
 {
     ASSERT_EQ(put_status, 200);
     ASSERT_TRUE(serves()) << entry->log();
-    make_trouble();
+    trigger_rare_events();
     entry->signal(SIGTERM);
     EXPECT_EQ(entry->wait_ended(), 0);
     EXPECT_TRUE(control->wait_for_line({R"("event":"dependency_lost")"})) << control->log();
--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -65,11 +65,11 @@
                                  const std::shared_ptr<http_reply>& reply)
 {
     if (request.target == "/engine/state") {
-        give_state(*reply);
+        send_state(*reply);
         return;
     }
     if (request.target == "/engine/orders") {
-        take_order(request, *reply);
+        execute_order(request, *reply);
         return;
     }
     requests_.push_back(request);
@@ -77,7 +77,7 @@
     serve(request, reply);
 }
 
-void stand_in_runner::give_state(http_reply& reply) const
+void stand_in_runner::send_state(http_reply& reply) const
 {
     reply.send(json_head(200), json{{"phase", phase_},
                                     {"epoch", epoch_},
@@ -87,7 +87,7 @@
                                    .dump());
 }
 
-void stand_in_runner::take_order(const http_request& request, http_reply& reply)
+void stand_in_runner::execute_order(const http_request& request, http_reply& reply)
 {
     const auto in = json::parse(request.body, nullptr, false);
     if (!in.is_object()) {
@@ -111,7 +111,7 @@
         load_timer_.stop();
         phase_ = "idle";
     }
-    give_state(reply);
+    send_state(reply);
 }
 
 fault_stage stand_in_runner::next_fault()
--- a/tools/stand_in/stand_in_runner.h
+++ b/tools/stand_in/stand_in_runner.h
@@ -70,8 +70,8 @@
     };
 
     void on_request(const http_request& request, const std::shared_ptr<http_reply>& reply);
-    void give_state(http_reply& reply) const;
-    void take_order(const http_request& request, http_reply& reply);
+    void send_state(http_reply& reply) const;
+    void execute_order(const http_request& request, http_reply& reply);
     void serve(const http_request& request, const std::shared_ptr<http_reply>& reply);
     void serve_plain(const http_request& request, http_reply& reply);
     void step(std::uint64_t id);
