--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -122,7 +122,7 @@
         }
     }
 
-    std::string harm()
+    std::string inject_fault()
     {
         const auto which = static_cast<int>(random() % static_cast<unsigned>(fleet.count()));
         auto& daemon = fleet.at(which);
@@ -255,17 +255,17 @@
     }
 
     /// Expects, without injected faults, that the crashing request is soon rejected permanently.
-    void expect_quarantine(const std::string& story)
+    void expect_quarantine(const std::string& fault_history)
     {
         pass_time(milliseconds{std::chrono::duration_cast<milliseconds>(contact_time)});
         const auto before = crashing_arrivals();
         const auto allowed = most_ends + (before >= most_ends ? 0 : most_ends - before);
         ASSERT_TRUE(wait_until([&] { return send_crashing_request() == quarantined_status; }))
-            << story;
+            << fault_history;
         for (int again = 0; again < 10; ++again) {
-            EXPECT_EQ(send_crashing_request(), quarantined_status) << story;
+            EXPECT_EQ(send_crashing_request(), quarantined_status) << fault_history;
         }
-        EXPECT_LE(crashing_arrivals() - before, allowed) << story << before << " before";
+        EXPECT_LE(crashing_arrivals() - before, allowed) << fault_history << before << " before";
     }
 
     [[nodiscard]] int served_total() const
@@ -299,10 +299,10 @@
         change_configuration();
         return acknowledged > 0;
     }));
-    std::string story;
+    std::string fault_history;
     for (int round = 0; round < rounds; ++round) {
-        story += harm() + "; ";
-        SCOPED_TRACE(story);
+        fault_history += inject_fault() + "; ";
+        SCOPED_TRACE(fault_history);
         if (has_pauses) {
             ask_for_pause();
         }
@@ -321,7 +321,7 @@
     }
     const auto calm = steady_now();
     ASSERT_TRUE(wait_until([&] { return send_request(); }))
-        << "seed " << GetParam() << ": " << story;
+        << "seed " << GetParam() << ": " << fault_history;
     EXPECT_LT(steady_now() - calm, seconds{12});
     const int before = acknowledged;
     ASSERT_TRUE(wait_until([&] {
@@ -330,7 +330,7 @@
     }));
     read_configuration();
     if (has_crashing_request) {
-        expect_quarantine(story);
+        expect_quarantine(fault_history);
     }
 }
 
