--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -18,7 +18,7 @@
     }
     auto out = endpoint::parse(text);
     if (!out) {
-        in.fail(key, "must be an IP number and port");
+        in.fail(key, "must be an IP address and port, such as 127.0.0.1:8080");
     }
     return out;
 }
@@ -35,7 +35,7 @@
             out.seeds.push_back(*seed);
         }
         else {
-            in.fail("seeds", "\"" + text + "\" is not an IP number and port");
+            in.fail("seeds", "\"" + text + "\" must be an IP address and port");
         }
     }
     if (out.seeds.empty()) {
@@ -79,7 +79,8 @@
     own.metrics = read_endpoint(in, "metrics", false);
     own.data_folder = in.string_or("data_folder", "");
     if (is_control && own.data_folder.empty()) {
-        in.fail("data_folder", "is needed: a control daemon keeps what it has acknowledged");
+        in.fail("data_folder",
+                "is required: a control daemon stores the changes that it acknowledges");
     }
     read_seeds(in, own);
     own.first_start = in.boolean_or("first_start", false);
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -15,7 +15,7 @@
     bool operator()(int depth, json::parse_event_t event, json& value)
     {
         if (depth > max_json_depth) {
-            report(fmt::format("more than {} levels", max_json_depth));
+            report(fmt::format("must not be nested deeper than {} levels", max_json_depth));
             return false;
         }
         if (event == json::parse_event_t::object_start) {
@@ -26,7 +26,7 @@
         }
         else if (event == json::parse_event_t::key &&
                  !keys_.back().insert(value.get<std::string>()).second) {
-            report("key \"" + value.get<std::string>() + "\" stands twice");
+            report("key \"" + value.get<std::string>() + "\" occurs more than once");
         }
         return true;
     }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -13,7 +13,7 @@
     const auto text = in.string(key);
     const auto it = endpoint::parse(text);
     if (!it && !text.empty()) {
-        in.fail(key, "must be an IP number and port, such as 127.0.0.1:8080");
+        in.fail(key, "must be an IP address and port, such as 127.0.0.1:8080");
     }
     return it.value_or(endpoint{});
 }
@@ -52,18 +52,19 @@
 void check_addresses(const settings& it, faults& out)
 {
     if (it.callers == it.operators && it.callers.port != 0) {
-        out.push_back({"/operators", "is the same address as /callers"});
+        out.push_back({"/operators", "must differ from the address of /callers"});
     }
     if (it.daemons && (*it.daemons == it.callers || *it.daemons == it.operators)) {
-        out.push_back({"/daemons", "is the same address as another listener"});
+        out.push_back({"/daemons", "must differ from the addresses of the other listeners"});
     }
 }
 
 void check_peers(const settings& it, faults& out)
 {
     if (it.daemons.has_value() == it.peers.empty()) {
-        out.push_back({"/peers", it.peers.empty() ? "must name the daemons, this one included"
-                                                  : "needs /daemons, this process's own address"});
+        out.push_back({"/peers", it.peers.empty()
+                                     ? "must list all daemons, including this one"
+                                     : "requires /daemons, the address of this daemon"});
     }
     if (it.peers.empty()) {
         return;
@@ -71,10 +72,11 @@
     const auto self = std::find_if(it.peers.begin(), it.peers.end(),
                                    [&](const peer_spec& e) { return e.id == it.id; });
     if (self == it.peers.end()) {
-        out.push_back({"/peers", "must name this process, \"" + it.id.str() + "\""});
+        out.push_back({"/peers", "must list this daemon, \"" + it.id.str() + "\""});
     }
     else if (self->failure_domain != it.failure_domain || self->address != it.daemons) {
-        out.push_back({"/peers", "gives this process another address or failure domain"});
+        out.push_back(
+            {"/peers", "must list this daemon with its /daemons address and its /failure_domain"});
     }
     if (std::none_of(it.peers.begin(), it.peers.end(),
                      [](const peer_spec& e) { return e.root_voter; })) {
