--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -118,7 +118,7 @@
     {
         fleet.start(which, false);
         for (const auto& each : pauses) {
-            each->forget(which - control_count);
+            each->drop_pauses(which - control_count);
         }
     }
 
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -41,7 +41,7 @@
         return is_due_for(sender) || (found != asked_.end() && steady_now() < found->second.until);
     }
     /// Drops the pauses of an entry daemon that restarts, since it loses them too.
-    void forget(int sender) { asked_.erase(sender); }
+    void drop_pauses(int sender) { asked_.erase(sender); }
 
     struct arrival {
         instant at;
