--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -87,7 +87,7 @@
     return it->body.value("revision", std::uint64_t{0});
 }
 
-int wait_everywhere(std::vector<endpoint> daemons, std::uint64_t revision, int wait_seconds)
+int wait_until_in_force(std::vector<endpoint> daemons, std::uint64_t revision, int wait_seconds)
 {
     using clock = std::chrono::steady_clock;
     const auto until = clock::now() + std::chrono::seconds{wait_seconds};
@@ -153,7 +153,7 @@
     }
     const auto revision = it->body.value("revision", std::uint64_t{0});
     fmt::print("accepted as revision {}\n", revision);
-    return wait_seconds > 0 ? wait_everywhere(std::move(daemons), revision, wait_seconds)
+    return wait_seconds > 0 ? wait_until_in_force(std::move(daemons), revision, wait_seconds)
                             : to_int(exit_code::done);
 }
 
@@ -191,7 +191,7 @@
     if (!it) {
         return report_unreachable(why);
     }
-    fmt::print("{}", as_json ? it->body.dump(json_indent) + "\n" : show_status(it->body));
+    fmt::print("{}", as_json ? it->body.dump(json_indent) + "\n" : format_status(it->body));
     return to_int(exit_code::done);
 }
 
@@ -203,7 +203,7 @@
         if (!it) {
             return report_unreachable(why);
         }
-        fmt::print("{}{}", clear_screen, show_status(it->body));
+        fmt::print("{}{}", clear_screen, format_status(it->body));
         std::fflush(stdout);
         QThread::msleep(watch_poll_ms);
     }
--- a/src/cli/settings_file.cpp
+++ b/src/cli/settings_file.cpp
@@ -13,7 +13,7 @@
     auto text = files.read(path, why);
     if (!text) {
         fmt::print(stderr, "{}\n",
-                   why.step.empty() ? "open " + path + ": there is no such file" : why.str());
+                   why.step.empty() ? "open " + path + ": no such file" : why.str());
     }
     return text;
 }
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -7,7 +7,8 @@
 
 namespace cedarpoint {
 
-/// Returns the content of a file; nothing if it can't be read, with the reason on standard error.
+/// Returns the content of a file. If it can't be read, prints the reason on standard error and
+/// returns nothing.
 std::optional<std::string> read_named_file(const std::string& path);
 
 /// Prints each fault as a line on standard error: file, JSON pointer, text.
--- a/src/cli/status_view.cpp
+++ b/src/cli/status_view.cpp
@@ -12,7 +12,7 @@
 /// Formats a row of the table of groups: failure domain, group, state, epoch, nodes.
 constexpr std::string_view group_row = "{:<14} {:<20} {:<9} {:>6}  {}\n";
 
-std::string show_log(const char* name, const json& log)
+std::string format_log(const char* name, const json& log)
 {
     return fmt::format("{:<10} leader {:<12} term {:<4} committed {:<8} applied {:<8}{}\n", name,
                        log.value("leader", "").empty() ? "none" : log.value("leader", ""),
@@ -20,7 +20,7 @@
                        log.value("holds_lease", false) ? " lease" : "");
 }
 
-std::string show_groups(const std::string& domain, const json& groups)
+std::string format_groups(const std::string& domain, const json& groups)
 {
     std::string out;
     for (const auto& it : groups) {
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string show_status(const json& status)
+std::string format_status(const json& status)
 {
     const auto& requests = status["requests"];
     std::string out = fmt::format("daemon {} in {}: {}, revision {} ({}), grant {} ms old\n",
@@ -47,14 +47,14 @@
     out += fmt::format("requests in flight {}, queued {}, sessions {}\n",
                        requests.value("in_flight", 0), requests.value("queued", 0),
                        requests.value("sessions", 0));
-    out += show_log("domain log", status["domain_log"]);
+    out += format_log("domain log", status["domain_log"]);
     if (status.contains("root_log")) {
-        out += show_log("root log", status["root_log"]);
+        out += format_log("root log", status["root_log"]);
     }
     out += "\n" + fmt::format(group_row, "DOMAIN", "GROUP", "STATE", "EPOCH", "NODES");
-    out += show_groups(status.value("failure_domain", ""), status["groups"]);
+    out += format_groups(status.value("failure_domain", ""), status["groups"]);
     for (const auto& [domain, it] : status["other_domains"].items()) {
-        out += show_groups(domain, it["groups"]);
+        out += format_groups(domain, it["groups"]);
     }
     std::string absent;
     std::string spare;
--- a/src/cli/status_view.h
+++ b/src/cli/status_view.h
@@ -6,6 +6,6 @@
 namespace cedarpoint {
 
 /// Formats the body of /v1/status as text: the daemon, its requests, logs, groups and nodes.
-std::string show_status(const nlohmann::json& status);
+std::string format_status(const nlohmann::json& status);
 
 } // namespace cedarpoint
--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -206,7 +206,8 @@
         unique("client_accounts", config_.accounts, [](const auto& e) { return e.key_sha256; });
     }
 
-    void need_domain(const char* list, std::size_t n, const char* key, const failure_domain_id& id)
+    void require_domain(const char* list, std::size_t n, const char* key,
+                        const failure_domain_id& id)
     {
         const auto& all = config_.failure_domains;
         if (!id.empty() && std::find(all.begin(), all.end(), id) == all.end()) {
@@ -217,8 +218,8 @@
     void check_topology()
     {
         for (std::size_t n = 0; n < config_.fabric_domains.size(); ++n) {
-            need_domain("fabric_domains", n, "failure_domain",
-                        config_.fabric_domains[n].failure_domain);
+            require_domain("fabric_domains", n, "failure_domain",
+                           config_.fabric_domains[n].failure_domain);
         }
         for (std::size_t n = 0; n < config_.nodes.size(); ++n) {
             if (const auto& id = config_.nodes[n].fabric_domain;
@@ -239,7 +240,7 @@
     {
         for (std::size_t n = 0; n < config_.pools.size(); ++n) {
             const auto& pool = config_.pools[n];
-            need_domain("replica_groups", n, "failure_domain", pool.failure_domain);
+            require_domain("replica_groups", n, "failure_domain", pool.failure_domain);
             const auto it = std::find_if(config_.models.begin(), config_.models.end(),
                                          [&](const model_spec& e) { return e.id == pool.model; });
             if (it == config_.models.end()) {
@@ -247,9 +248,9 @@
                     "\"" + pool.model.str() + "\" is not a declared model");
                 continue;
             }
-            need_listed(n, "version", it->versions, pool.version);
+            require_listed(n, "version", it->versions, pool.version);
             for (const auto& name : pool.adapters) {
-                need_listed(n, "adapters", it->adapters, name);
+                require_listed(n, "adapters", it->adapters, name);
             }
         }
         for (std::size_t n = 0; n < config_.routes.size(); ++n) {
@@ -257,8 +258,8 @@
         }
     }
 
-    void need_listed(std::size_t n, const char* key, const std::vector<std::string>& all,
-                     const std::string& name)
+    void require_listed(std::size_t n, const char* key, const std::vector<std::string>& all,
+                        const std::string& name)
     {
         if (!name.empty() && std::find(all.begin(), all.end(), name) == all.end()) {
             add("replica_groups", n, key, "\"" + name + "\" is not listed by the model");
@@ -289,7 +290,7 @@
     {
         for (std::size_t n = 0; n < config_.services.size(); ++n) {
             for (const auto& it : config_.services[n].upstreams) {
-                need_domain("services", n, "upstreams", it.failure_domain);
+                require_domain("services", n, "upstreams", it.failure_domain);
             }
         }
     }
@@ -297,8 +298,8 @@
     void check_accounts()
     {
         for (std::size_t n = 0; n < config_.accounts.size(); ++n) {
-            need_domain("client_accounts", n, "home_failure_domain",
-                        config_.accounts[n].home_failure_domain);
+            require_domain("client_accounts", n, "home_failure_domain",
+                           config_.accounts[n].home_failure_domain);
         }
     }
 
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -104,7 +104,7 @@
         return {};
     }
     if (!it->is_string() || it->get_ref<const std::string&>().empty()) {
-        fail(key, "must be a string that is not empty");
+        fail(key, "must be a non-empty string");
         return {};
     }
     return it->get<std::string>();
@@ -134,7 +134,7 @@
                        it->get<std::uint64_t>() <= static_cast<std::uint64_t>(range.high)) &&
                       it->get<std::int64_t>() >= range.low && it->get<std::int64_t>() <= range.high;
     if (!fits) {
-        fail(key, fmt::format("must be a whole number from {} to {}", range.low, range.high));
+        fail(key, fmt::format("must be an integer from {} to {}", range.low, range.high));
         return range.low;
     }
     return it->get<std::int64_t>();
