--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -31,9 +31,9 @@
 constexpr double target_added_ms = 1; // added to the time to the first token, p95
 
 /// One daemon process with one group of engines in this process.
-class rig {
+class relay_fixture {
 public:
-    explicit rig(const stand_in_runner::options& engine)
+    explicit relay_fixture(const stand_in_runner::options& engine)
     {
         json file{{"based_on", 0},
                   {"change_id", "bench"},
@@ -82,13 +82,13 @@
         wait_until([&] { return first_answer({"127.0.0.1", callers_port}).count() > 0; });
     }
 
-    ~rig()
+    ~relay_fixture()
     {
         process_.kill();
         process_.waitForFinished();
     }
-    rig(const rig&) = delete;
-    rig& operator=(const rig&) = delete;
+    relay_fixture(const relay_fixture&) = delete;
+    relay_fixture& operator=(const relay_fixture&) = delete;
 
     /// Returns the time to the first token of a small request sent to `to`; 0 if it failed.
     static duration first_answer(const endpoint& to)
@@ -131,14 +131,14 @@
            1000;
 }
 
-void measure_added_latency(rig& at)
+void measure_added_latency(relay_fixture& at)
 {
     constexpr int rounds = 300;
     std::vector<duration> direct;
     std::vector<duration> relayed;
     for (int n = 0; n < rounds; ++n) {
-        direct.push_back(rig::first_answer(at.first_engine()));
-        relayed.push_back(rig::first_answer(rig::callers()));
+        direct.push_back(relay_fixture::first_answer(at.first_engine()));
+        relayed.push_back(relay_fixture::first_answer(relay_fixture::callers()));
     }
     constexpr double p95 = 0.95;
     const double added = percentile_ms(relayed, p95) - percentile_ms(direct, p95);
@@ -149,11 +149,11 @@
 
 /// Returns the processor time of the daemon per token, in seconds, with `streams` concurrent
 /// streams.
-double measure_streams(rig& at, int streams, int tokens)
+double measure_streams(relay_fixture& at, int streams, int tokens)
 {
     std::vector<std::unique_ptr<raw_caller>> all;
     for (int n = 0; n < streams; ++n) {
-        all.push_back(std::make_unique<raw_caller>(rig::callers()));
+        all.push_back(std::make_unique<raw_caller>(relay_fixture::callers()));
     }
     const auto connected = at.usage();
     for (auto& it : all) {
@@ -182,7 +182,7 @@
 
 /// Returns the processor time of the daemon per request that is not streamed, in seconds, over
 /// persistent connections.
-double measure_requests(rig& at)
+double measure_requests(relay_fixture& at)
 {
     constexpr int callers = 50;
     constexpr int each = 60;
@@ -194,7 +194,7 @@
     const auto before = at.usage();
     const auto from = std::chrono::steady_clock::now();
     for (int n = 0; n < callers; ++n) {
-        all.push_back(std::make_unique<raw_caller>(rig::callers()));
+        all.push_back(std::make_unique<raw_caller>(relay_fixture::callers()));
         all.back()->send(batch);
     }
     const auto answered = [](raw_caller& it) {
@@ -220,13 +220,13 @@
 
 /// Measures the memory of idle connections. Must run first: later allocations could reuse free heap
 /// space and would not show.
-void measure_idle_connections(rig& at)
+void measure_idle_connections(relay_fixture& at)
 {
     constexpr int connections = 1000;
     std::vector<std::unique_ptr<raw_caller>> all;
     const auto before = at.usage();
     for (int n = 0; n < connections; ++n) {
-        all.push_back(std::make_unique<raw_caller>(rig::callers()));
+        all.push_back(std::make_unique<raw_caller>(relay_fixture::callers()));
         all.back()->send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     wait_until([&] {
@@ -241,7 +241,7 @@
 {
     stand_in_runner::options engine;
     engine.token_ms = 1;
-    rig at{engine};
+    relay_fixture at{engine};
     measure_idle_connections(at);
     measure_added_latency(at);
     const double per_request = measure_requests(at);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -50,14 +50,14 @@
         catch (const CLI::ParseError& e) {
             return app_.exit(e) == 0 ? to_int(exit_code::done) : to_int(exit_code::usage);
         }
-        return chosen_();
+        return selected_command_();
     }
 
 private:
     CLI::App* add(const char* name, const char* help, std::function<int()> run)
     {
         auto* out = app_.add_subcommand(name, help);
-        out->callback([this, run = std::move(run)] { chosen_ = run; });
+        out->callback([this, run = std::move(run)] { selected_command_ = run; });
         return out;
     }
 
@@ -153,7 +153,7 @@
     char** argv_;
     CLI::App app_{"Cedarpoint: serves models whose replicas span several nodes"};
     arguments in_;
-    std::function<int()> chosen_;
+    std::function<int()> selected_command_;
 };
 
 } // namespace
--- a/tests/compat/names_test.cpp
+++ b/tests/compat/names_test.cpp
@@ -167,13 +167,13 @@
         runners.erase(runners.begin()); // the head of a group ends: its address refuses connections
         EXPECT_TRUE(control->wait_for_line({R"("event":"look_failed")"})) << control->log();
         // Another control daemon asks to join.
-        auto newcomer = control_settings();
-        newcomer["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
-        newcomer["control"] = free_endpoint(2).str();
-        newcomer["metrics"] = free_endpoint(2).str();
-        newcomer["data_folder"] = folder.path().toStdString() + "/newcomer";
-        newcomer["first_start"] = false;
-        const daemon_run follower{"fleet", newcomer};
+        auto joining_settings = control_settings();
+        joining_settings["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
+        joining_settings["control"] = free_endpoint(2).str();
+        joining_settings["metrics"] = free_endpoint(2).str();
+        joining_settings["data_folder"] = folder.path().toStdString() + "/newcomer";
+        joining_settings["first_start"] = false;
+        const daemon_run follower{"fleet", joining_settings};
         EXPECT_TRUE(control->wait_for_line({R"("event":"member")"})) << control->log();
     }
 
--- a/tests/soak/control_restart_test.cpp
+++ b/tests/soak/control_restart_test.cpp
@@ -25,7 +25,7 @@
 using testing_support::wait_until;
 
 /// Longest time from the start of all control daemons until one leads.
-constexpr duration longest_recovery = seconds{12};
+constexpr duration max_recovery_time = seconds{12};
 
 const std::string document = R"({"version":1,
     "routes":[{"name":"r","host":"h.example","pathPrefix":"/a/","kind":"safe","timeoutMs":2000,
@@ -70,7 +70,7 @@
         }
         const auto began = steady_now();
         ASSERT_TRUE(wait_until([&] { return fleet.leader().has_value(); })) << "round " << round;
-        ASSERT_LT(steady_now() - began, longest_recovery) << "round " << round;
+        ASSERT_LT(steady_now() - began, max_recovery_time) << "round " << round;
         // The next kill comes at a random time after the election.
         pass_time(milliseconds{random() % 2 * (random() % 1500)});
     }
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -37,10 +37,11 @@
 constexpr int entry_count = 2;
 constexpr int rounds = 14;
 
-/// Body of a request that crashes each runner that runs it. Once it has crashed `most_ends` runners
-/// and the daemons have been connected for `contact_time`, it reaches at most `most_ends` more.
+/// Body of a request that crashes each runner that runs it. Once it has crashed
+/// `max_crashed_runners` and the daemons have been connected for `contact_time`, it reaches at most
+/// `max_crashed_runners` more.
 const std::string crashing_body = "ends-runners";
-constexpr std::size_t most_ends = 3;
+constexpr std::size_t max_crashed_runners = 3;
 constexpr duration contact_time = seconds{3};
 constexpr int quarantined_status = 429;
 
@@ -259,7 +260,8 @@
     {
         pass_time(milliseconds{std::chrono::duration_cast<milliseconds>(contact_time)});
         const auto before = crashing_arrivals();
-        const auto allowed = most_ends + (before >= most_ends ? 0 : most_ends - before);
+        const auto allowed = max_crashed_runners +
+                             (before >= max_crashed_runners ? 0 : max_crashed_runners - before);
         ASSERT_TRUE(wait_until([&] { return send_crashing_request() == quarantined_status; }))
             << fault_history;
         for (int again = 0; again < 10; ++again) {
--- a/tools/stand_in/main.cpp
+++ b/tools/stand_in/main.cpp
@@ -18,7 +18,7 @@
     int port = 0;
     int count = 1;
     cedarpoint::stand_in_runner::options options;
-    app.add_option("--ip", ip, "IP number to listen on");
+    app.add_option("--ip", ip, "IP address to listen on");
     app.add_option("--port", port, "first port")->required();
     app.add_option("--count", count, "how many");
     app.add_option("--tokens", options.tokens, "tokens in an answer, unless the request says");
--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -167,7 +167,7 @@
         head.fields.add("Content-Type", "text/event-stream");
         head.fields.add("X-Request-Id", std::string{request.fields.get("X-Request-Id")});
         reply->begin(std::move(head));
-        QObject::connect(it.timer.get(), &QTimer::timeout, [this, id] { step(id); });
+        QObject::connect(it.timer.get(), &QTimer::timeout, [this, id] { send_next_token(id); });
         it.timer->start(options_.token_ms);
         return;
     }
@@ -205,7 +205,7 @@
                json{{"path", request.target}, {"method", request.method}, {"run", served_}}.dump());
 }
 
-void stand_in_runner::step(std::uint64_t id)
+void stand_in_runner::send_next_token(std::uint64_t id)
 {
     auto& it = streams_.at(id);
     const bool half = it.next >= it.end / 2;
--- a/tools/stand_in/stand_in_runner.h
+++ b/tools/stand_in/stand_in_runner.h
@@ -74,7 +74,7 @@
     void execute_order(const http_request& request, http_reply& reply);
     void serve(const http_request& request, const std::shared_ptr<http_reply>& reply);
     void serve_plain(const http_request& request, http_reply& reply);
-    void step(std::uint64_t id);
+    void send_next_token(std::uint64_t id);
     fault_stage next_fault();
 
     options options_;
