--- a/src/cli/daemon_start.h
+++ b/src/cli/daemon_start.h
@@ -18,12 +18,12 @@
 {
     constexpr duration max_wait = seconds{5};
     constexpr milliseconds interval{100};
-    const auto last_try = steady_now() + max_wait;
+    const auto deadline = steady_now() + max_wait;
     auto out = Daemon::start(own, why);
     if (out == nullptr && why.step == listen_in_use_step) {
         log_line("address_in_use").with("peer", why.peer).write();
     }
-    while (out == nullptr && why.step == listen_in_use_step && steady_now() < last_try) {
+    while (out == nullptr && why.step == listen_in_use_step && steady_now() < deadline) {
         std::this_thread::sleep_for(interval);
         why = {};
         out = Daemon::start(own, why);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* version_text = "cedarpoint 0.1.0";
 constexpr const char* default_daemon = "127.0.0.1:9100";
-constexpr int max_apply_wait = 3600; ///< seconds
+constexpr int max_apply_wait_s = 3600; ///< seconds
 
 /// The options of all subcommands, filled by the parser.
 struct arguments {
@@ -50,14 +50,14 @@
         catch (const CLI::ParseError& e) {
             return app_.exit(e) == 0 ? to_int(exit_code::done) : to_int(exit_code::usage);
         }
-        return chosen_();
+        return selected_command_();
     }
 
 private:
     CLI::App* add(const char* name, const char* help, std::function<int()> run)
     {
         auto* out = app_.add_subcommand(name, help);
-        out->callback([this, run = std::move(run)] { chosen_ = run; });
+        out->callback([this, run = std::move(run)] { selected_command_ = run; });
         return out;
     }
 
@@ -109,7 +109,7 @@
         apply
             ->add_option("--wait", in_.wait_seconds,
                          "wait up to this many seconds until the revision is in force")
-            ->check(CLI::Range(0, max_apply_wait));
+            ->check(CLI::Range(0, max_apply_wait_s));
         apply->add_option("--also", in_.also, "further daemons for --wait to poll, ip:port");
         auto* plan = add_call("plan", "Show what a declarative file would change (dry run)",
                               [this](const endpoint& to) { return run_plan(to, in_.file); });
@@ -153,7 +153,7 @@
     char** argv_;
     CLI::App app_{"Cedarpoint: serves models whose replicas span several nodes"};
     arguments in_;
-    std::function<int()> chosen_;
+    std::function<int()> selected_command_;
 };
 
 } // namespace
--- a/tests/compat/names_test.cpp
+++ b/tests/compat/names_test.cpp
@@ -150,7 +150,7 @@
     }
 
     /// Triggers the events that daemons log only occasionally.
-    void make_trouble()
+    void trigger_rare_events()
     {
         for (const auto& runner : runners) {
             runner->fail_next = 1; // an attempt that fails
@@ -167,13 +167,13 @@
         runners.erase(runners.begin()); // the head of a group ends: its address refuses connections
         EXPECT_TRUE(control->wait_for_line({R"("event":"look_failed")"})) << control->log();
         // Another control daemon asks to join.
-        auto newcomer = control_settings();
-        newcomer["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
-        newcomer["control"] = free_endpoint(2).str();
-        newcomer["metrics"] = free_endpoint(2).str();
-        newcomer["data_folder"] = folder.path().toStdString() + "/newcomer";
-        newcomer["first_start"] = false;
-        const daemon_run follower{"fleet", newcomer};
+        auto joining_settings = control_settings();
+        joining_settings["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
+        joining_settings["control"] = free_endpoint(2).str();
+        joining_settings["metrics"] = free_endpoint(2).str();
+        joining_settings["data_folder"] = folder.path().toStdString() + "/newcomer";
+        joining_settings["first_start"] = false;
+        const daemon_run follower{"fleet", joining_settings};
         EXPECT_TRUE(control->wait_for_line({R"("event":"member")"})) << control->log();
     }
 
@@ -204,7 +204,7 @@
 {
     ASSERT_EQ(put_status, 200);
     ASSERT_TRUE(serves()) << entry->log();
-    make_trouble();
+    trigger_rare_events();
     entry->signal(SIGTERM);
     EXPECT_EQ(entry->wait_ended(), 0);
     EXPECT_TRUE(control->wait_for_line({R"("event":"dependency_lost")"})) << control->log();
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -37,10 +37,11 @@
 constexpr int entry_count = 2;
 constexpr int rounds = 14;
 
-/// Body of a request that crashes each runner that runs it. Once it has crashed `most_ends` runners
-/// and the daemons have been connected for `contact_time`, it reaches at most `most_ends` more.
+/// Body of a request that crashes each runner that runs it. Once it has crashed
+/// `max_crashed_runners` and the daemons have been connected for `contact_time`, it reaches at most
+/// `max_crashed_runners` more.
 const std::string crashing_body = "ends-runners";
-constexpr std::size_t most_ends = 3;
+constexpr std::size_t max_crashed_runners = 3;
 constexpr duration contact_time = seconds{3};
 constexpr int quarantined_status = 429;
 
@@ -118,11 +119,11 @@
     {
         fleet.start(which, false);
         for (const auto& each : pauses) {
-            each->forget(which - control_count);
+            each->drop_pauses(which - control_count);
         }
     }
 
-    std::string harm()
+    std::string inject_fault()
     {
         const auto which = static_cast<int>(random() % static_cast<unsigned>(fleet.count()));
         auto& daemon = fleet.at(which);
@@ -255,17 +256,18 @@
     }
 
     /// Expects, without injected faults, that the crashing request is soon rejected permanently.
-    void expect_quarantine(const std::string& story)
+    void expect_quarantine(const std::string& fault_history)
     {
         pass_time(milliseconds{std::chrono::duration_cast<milliseconds>(contact_time)});
         const auto before = crashing_arrivals();
-        const auto allowed = most_ends + (before >= most_ends ? 0 : most_ends - before);
+        const auto allowed = max_crashed_runners +
+                             (before >= max_crashed_runners ? 0 : max_crashed_runners - before);
         ASSERT_TRUE(wait_until([&] { return send_crashing_request() == quarantined_status; }))
-            << story;
+            << fault_history;
         for (int again = 0; again < 10; ++again) {
-            EXPECT_EQ(send_crashing_request(), quarantined_status) << story;
+            EXPECT_EQ(send_crashing_request(), quarantined_status) << fault_history;
         }
-        EXPECT_LE(crashing_arrivals() - before, allowed) << story << before << " before";
+        EXPECT_LE(crashing_arrivals() - before, allowed) << fault_history << before << " before";
     }
 
     [[nodiscard]] int served_total() const
@@ -299,10 +301,10 @@
         change_configuration();
         return acknowledged > 0;
     }));
-    std::string story;
+    std::string fault_history;
     for (int round = 0; round < rounds; ++round) {
-        story += harm() + "; ";
-        SCOPED_TRACE(story);
+        fault_history += inject_fault() + "; ";
+        SCOPED_TRACE(fault_history);
         if (has_pauses) {
             ask_for_pause();
         }
@@ -321,7 +323,7 @@
     }
     const auto calm = steady_now();
     ASSERT_TRUE(wait_until([&] { return send_request(); }))
-        << "seed " << GetParam() << ": " << story;
+        << "seed " << GetParam() << ": " << fault_history;
     EXPECT_LT(steady_now() - calm, seconds{12});
     const int before = acknowledged;
     ASSERT_TRUE(wait_until([&] {
@@ -330,7 +332,7 @@
     }));
     read_configuration();
     if (has_crashing_request) {
-        expect_quarantine(story);
+        expect_quarantine(fault_history);
     }
 }
 
--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -65,11 +65,11 @@
                                  const std::shared_ptr<http_reply>& reply)
 {
     if (request.target == "/engine/state") {
-        give_state(*reply);
+        send_state(*reply);
         return;
     }
     if (request.target == "/engine/orders") {
-        take_order(request, *reply);
+        execute_order(request, *reply);
         return;
     }
     requests_.push_back(request);
@@ -77,7 +77,7 @@
     serve(request, reply);
 }
 
-void stand_in_runner::give_state(http_reply& reply) const
+void stand_in_runner::send_state(http_reply& reply) const
 {
     reply.send(json_head(200), json{{"phase", phase_},
                                     {"epoch", epoch_},
@@ -87,7 +87,7 @@
                                    .dump());
 }
 
-void stand_in_runner::take_order(const http_request& request, http_reply& reply)
+void stand_in_runner::execute_order(const http_request& request, http_reply& reply)
 {
     const auto in = json::parse(request.body, nullptr, false);
     if (!in.is_object()) {
@@ -111,7 +111,7 @@
         load_timer_.stop();
         phase_ = "idle";
     }
-    give_state(reply);
+    send_state(reply);
 }
 
 fault_stage stand_in_runner::next_fault()
@@ -167,7 +167,7 @@
         head.fields.add("Content-Type", "text/event-stream");
         head.fields.add("X-Request-Id", std::string{request.fields.get("X-Request-Id")});
         reply->begin(std::move(head));
-        QObject::connect(it.timer.get(), &QTimer::timeout, [this, id] { step(id); });
+        QObject::connect(it.timer.get(), &QTimer::timeout, [this, id] { send_next_token(id); });
         it.timer->start(options_.token_ms);
         return;
     }
@@ -205,7 +205,7 @@
                json{{"path", request.target}, {"method", request.method}, {"run", served_}}.dump());
 }
 
-void stand_in_runner::step(std::uint64_t id)
+void stand_in_runner::send_next_token(std::uint64_t id)
 {
     auto& it = streams_.at(id);
     const bool half = it.next >= it.end / 2;
