--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -21,7 +21,7 @@
     const auto text = in.string("address");
     const auto it = endpoint::parse(text);
     if (!it && !text.empty()) {
-        in.fail("address", "must be an IP address and port, such as 127.0.0.1:9000");
+        in.fail("address", "must be an IP number and port, such as 127.0.0.1:9000");
     }
     return it.value_or(endpoint{});
 }
@@ -88,8 +88,7 @@
             e.fail("path_prefix", "must begin with /");
         }
         if (it.path_prefix.starts_with("/v1/") || it.path_prefix == "/v1") {
-            e.fail("path_prefix",
-                   "must not be /v1 or begin with /v1/, which is reserved for models");
+            e.fail("path_prefix", "/v1 belongs to the models");
         }
         e.each("upstreams", [&](json_reader& u) {
             it.upstreams.push_back({runner_id{u.string("id")},
@@ -123,7 +122,7 @@
     for (const auto& name : in.strings_or_none("priorities")) {
         const auto it = parse_priority(name);
         if (!it) {
-            in.fail("priorities", "\"" + name + "\" must be alarm, normal or bulk");
+            in.fail("priorities", "\"" + name + "\" is not alarm, normal or bulk");
             continue;
         }
         out.push_back(*it);
@@ -179,7 +178,7 @@
         for (std::size_t n = 0; n < all.size(); ++n) {
             const auto name = project(all[n]);
             if (!name.empty() && !seen.insert(name).second) {
-                add(list, n, "id", "\"" + name + "\" occurs more than once");
+                add(list, n, "id", "\"" + name + "\" stands twice");
             }
         }
     }
@@ -262,7 +261,7 @@
                         const std::string& name)
     {
         if (!name.empty() && std::find(all.begin(), all.end(), name) == all.end()) {
-            add("replica_groups", n, key, "\"" + name + "\" is not listed by the model");
+            add("replica_groups", n, key, "\"" + name + "\" is not declared for the model");
         }
     }
 
@@ -271,18 +270,15 @@
         for (const auto& id : route.pools) {
             const auto* pool = config_.find_pool(id);
             if (pool == nullptr) {
-                add("routing_rules", n, "replica_groups",
-                    "\"" + id.str() + "\" is not a declared replica group");
+                add("routing_rules", n, "replica_groups", "\"" + id.str() + "\" is not declared");
             }
             else if (pool->model != route.model) {
                 add("routing_rules", n, "replica_groups",
-                    "\"" + id.str() + "\" must serve the rule's model, but serves \"" +
-                        pool->model.str() + "\"");
+                    "\"" + id.str() + "\" serves model \"" + pool->model.str() + "\"");
             }
         }
         if (route.account && config_.find_account(*route.account) == nullptr) {
-            add("routing_rules", n, "account",
-                "\"" + route.account->str() + "\" is not a declared client account");
+            add("routing_rules", n, "account", "\"" + route.account->str() + "\" is not declared");
         }
     }
 
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -15,7 +15,7 @@
     bool operator()(int depth, json::parse_event_t event, json& value)
     {
         if (depth > max_json_depth) {
-            report(fmt::format("must not be nested deeper than {} levels", max_json_depth));
+            report(fmt::format("more than {} levels", max_json_depth));
             return false;
         }
         if (event == json::parse_event_t::object_start) {
@@ -26,7 +26,7 @@
         }
         else if (event == json::parse_event_t::key &&
                  !keys_.back().insert(value.get<std::string>()).second) {
-            report("key \"" + value.get<std::string>() + "\" occurs more than once");
+            report("key \"" + value.get<std::string>() + "\" stands twice");
         }
         return true;
     }
@@ -104,7 +104,7 @@
         return {};
     }
     if (!it->is_string() || it->get_ref<const std::string&>().empty()) {
-        fail(key, "must be a non-empty string");
+        fail(key, "must be a string that is not empty");
         return {};
     }
     return it->get<std::string>();
@@ -134,7 +134,7 @@
                        it->get<std::uint64_t>() <= static_cast<std::uint64_t>(range.high)) &&
                       it->get<std::int64_t>() >= range.low && it->get<std::int64_t>() <= range.high;
     if (!fits) {
-        fail(key, fmt::format("must be an integer from {} to {}", range.low, range.high));
+        fail(key, fmt::format("must be a whole number from {} to {}", range.low, range.high));
         return range.low;
     }
     return it->get<std::int64_t>();
--- a/tests/config/configuration_test.cpp
+++ b/tests/config/configuration_test.cpp
@@ -71,7 +71,7 @@
 {
     const auto found = faults_of(R"({"based_on": 0, "based_on": 1, "change_id": "x"})");
     ASSERT_EQ(found.size(), 1U);
-    EXPECT_NE(found.front().text.find("occurs more than once"), std::string::npos);
+    EXPECT_NE(found.front().text.find("stands twice"), std::string::npos);
 }
 
 TEST(configuration_file, nested_too_deep_is_refused)
