--- a/include/cedarpoint/admission/wait_queue.h
+++ b/include/cedarpoint/admission/wait_queue.h
@@ -20,7 +20,7 @@
     int weight = 1;
     priority_class priority = priority_class::normal;
     instant since;
-    instant give_up; ///< the deadline, or the end of the longest wait
+    instant expires_at; ///< the deadline, or the end of the longest wait
 };
 
 /// Queue of the requests with the same routes that wait for a slot. Owns their order:
@@ -47,7 +47,7 @@
     /// Removes a request; does nothing if it is not queued. If `served`, the request counts towards
     /// its account's share.
     void remove(const request_id& request, bool served);
-    /// Removes and returns all requests whose `give_up` time has come.
+    /// Removes and returns all requests whose `expires_at` time has come.
     [[nodiscard]] std::vector<request_id> expire(instant now);
 
     [[nodiscard]] std::size_t size() const { return size_; }
--- a/include/cedarpoint/fleet/platform_adapter.h
+++ b/include/cedarpoint/fleet/platform_adapter.h
@@ -12,7 +12,7 @@
 
 namespace cedarpoint {
 
-/// The platform's header names by content.
+/// The names of the platform's HTTP headers.
 struct header_names {
     std::string request_id;      ///< the caller's id of this try; passed on and echoed by runners
     std::string deadline_ms;     ///< remaining time for the answer, in milliseconds
--- a/include/cedarpoint/request/caller_admission.h
+++ b/include/cedarpoint/request/caller_admission.h
@@ -20,7 +20,7 @@
     int weight = 1; ///< the account's weight in the queue
     priority_class priority = priority_class::normal;
     failure_domain_id home; ///< the account's home, which stores its claims
-    instant give_up;        ///< time at which it is refused if still unanswered
+    instant expires_at;     ///< time at which it is refused if still unanswered
     bool repeatable = true; ///< may be sent again even if a runner may have run it
     route_query query;      ///< the targets that may serve it
     std::string queue_key;  ///< key of its wait queue: one queue for each set of routes
--- a/include/cedarpoint/request/failure_rule.h
+++ b/include/cedarpoint/request/failure_rule.h
@@ -33,7 +33,7 @@
     bool resumable = false;    ///< a model's event stream, which another runner can continue
     bool answered = false;     ///< the head of the response was passed to the caller
     bool may_have_run = false; ///< in this attempt or an earlier one
-    instant give_up;
+    instant expires_at;
 };
 
 enum class failure_step {
@@ -46,9 +46,9 @@
 ///
 ///   `max_attempts` were made                          refuse
 ///   it may have run and is not repeatable             refuse
-///   part of the response was passed on, resumable     resume, also after `give_up`
+///   part of the response was passed on, resumable     resume, also after `expires_at`
 ///   part of the response was passed on                refuse
-///   the time `give_up` has come                       refuse
+///   the time `expires_at` has come                    refuse
 ///   otherwise                                         retry
 [[nodiscard]] failure_step step_after(instant now, const failed_attempt& it, int max_attempts);
 
--- a/include/cedarpoint/request/refusal.h
+++ b/include/cedarpoint/request/refusal.h
@@ -49,7 +49,7 @@
 };
 
 error_shape describe(error_code it);
-/// `error.ran` in the body.
+/// Returns the value of `error.ran` in the body.
 std::string_view name_of(run_state it);
 
 /// An error that the daemon itself returns to the caller.
--- a/src/admission/wait_queue.cpp
+++ b/src/admission/wait_queue.cpp
@@ -99,7 +99,7 @@
         for (auto& [account, own] : all) {
             const auto gone =
                 std::stable_partition(own.requests.begin(), own.requests.end(),
-                                      [&](const waiting& e) { return e.give_up > now; });
+                                      [&](const waiting& e) { return e.expires_at > now; });
             for (auto it = gone; it != own.requests.end(); ++it) {
                 out.push_back(it->request);
             }
--- a/src/quarantine/crash_detector.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -22,7 +22,8 @@
 /// connections.
 constexpr std::size_t max_unproved_cuts = 256;
 
-/// A later incarnation of a runner doesn't prove that a cut longer ago than this was a crash.
+/// Cuts older than this are dropped: a later incarnation of the runner no longer proves that such a
+/// cut was a crash.
 constexpr duration max_unproved_age = seconds{10};
 
 } // namespace
--- a/src/request/caller_admission.cpp
+++ b/src/request/caller_admission.cpp
@@ -92,8 +92,8 @@
     if (std::find(allowed.begin(), allowed.end(), call.priority) == allowed.end()) {
         return refused_call{call.account, refusals::priority_not_allowed()};
     }
-    call.give_up = facts.deadline.value_or(now + longest_wait);
-    if (call.give_up <= now) {
+    call.expires_at = facts.deadline.value_or(now + longest_wait);
+    if (call.expires_at <= now) {
         return refused_call{call.account, refusals::deadline_passed_on_arrival()};
     }
     call.query.salt = std::hash<request_id>{}(facts.id);
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -102,7 +102,7 @@
         give_up(request, refusals::not_claimed(verdict), out);
         return out;
     }
-    if (now >= it.call.give_up) {
+    if (now >= it.call.expires_at) {
         give_up(request, refusals::deadline_passed_while_claiming(), out);
         return out;
     }
@@ -116,7 +116,8 @@
     const auto& call = it.call;
     it.at = open_request::phase::queued;
     auto& queue = queues_[call.queue_key];
-    const waiting entry{it.facts.id, call.account, call.weight, call.priority, now, call.give_up};
+    const waiting entry{it.facts.id,   call.account, call.weight,
+                        call.priority, now,          call.expires_at};
     if (queue.push(entry)) {
         return;
     }
@@ -244,7 +245,7 @@
         return;
     }
     if (step == failure_step::resume) {
-        it.call.give_up = std::max(it.call.give_up, now + options_.longest_wait);
+        it.call.expires_at = std::max(it.call.expires_at, now + options_.longest_wait);
     }
     const bool elsewhere = router_.choose(now, it.call.query).chosen != nullptr;
     it.retry_at = elsewhere ? now : now + retry_pause(it.attempts, it.call.query.salt);
--- a/src/request/failure_rule.cpp
+++ b/src/request/failure_rule.cpp
@@ -15,10 +15,10 @@
         return failure_step::refuse;
     }
     if (it.answered) {
-        // `give_up` limits the wait for the response to begin; this response has begun.
+        // `expires_at` limits the wait for the response to begin; this response has begun.
         return it.resumable ? failure_step::resume : failure_step::refuse;
     }
-    return now < it.give_up ? failure_step::retry : failure_step::refuse;
+    return now < it.expires_at ? failure_step::retry : failure_step::refuse;
 }
 
 refusal refusal_after(const failed_attempt& it)
--- a/src/request/open_requests.cpp
+++ b/src/request/open_requests.cpp
@@ -13,7 +13,7 @@
             .resumable = facts.streamed && facts.model.has_value(),
             .answered = answered,
             .may_have_run = sent,
-            .give_up = call.give_up};
+            .expires_at = call.expires_at};
 }
 
 open_request& open_requests::add(request_facts facts, admitted_call call)
--- a/tests/request/caller_admission_test.cpp
+++ b/tests/request/caller_admission_test.cpp
@@ -125,15 +125,15 @@
     facts.deadline = now;
     EXPECT_EQ(refused(facts), error_code::deadline_passed);
     facts.deadline = now + tick;
-    EXPECT_EQ(admitted(facts).value().give_up, now + tick);
+    EXPECT_EQ(admitted(facts).value().expires_at, now + tick);
 }
 
 TEST(a_deadline, may_lie_beyond_the_longest_wait_which_holds_only_without_one)
 {
     auto facts = ask_model("acme");
-    EXPECT_EQ(admitted(facts).value().give_up, now + longest_wait);
+    EXPECT_EQ(admitted(facts).value().expires_at, now + longest_wait);
     facts.deadline = now + longest_wait + tick;
-    EXPECT_EQ(admitted(facts).value().give_up, now + longest_wait + tick);
+    EXPECT_EQ(admitted(facts).value().expires_at, now + longest_wait + tick);
 }
 
 TEST(a_refusal, names_the_first_check_that_fails)
--- a/tests/request/failure_rule_test.cpp
+++ b/tests/request/failure_rule_test.cpp
@@ -19,7 +19,7 @@
 /// A cut first attempt of a request that may run twice and has time left.
 failed_attempt plain_failure()
 {
-    return {.how = attempt_end::cut, .may_have_run = true, .give_up = now + seconds{1}};
+    return {.how = attempt_end::cut, .may_have_run = true, .expires_at = now + seconds{1}};
 }
 
 failure_step step_after(const failed_attempt& it)
@@ -41,11 +41,11 @@
 TEST(a_request_that_failed, is_sent_again_only_before_its_time_to_give_up)
 {
     auto it = plain_failure();
-    it.give_up = now + tick;
+    it.expires_at = now + tick;
     EXPECT_EQ(step_after(it), failure_step::retry);
-    it.give_up = now;
+    it.expires_at = now;
     EXPECT_EQ(step_after(it), failure_step::refuse);
-    it.give_up = now - tick;
+    it.expires_at = now - tick;
     EXPECT_EQ(step_after(it), failure_step::refuse);
 }
 
@@ -79,7 +79,7 @@
     auto it = plain_failure();
     it.answered = true;
     it.resumable = true;
-    it.give_up = now - seconds{10};
+    it.expires_at = now - seconds{10};
     EXPECT_EQ(step_after(it), failure_step::resume);
     it.attempts = max_attempts;
     EXPECT_EQ(step_after(it), failure_step::refuse);
@@ -101,7 +101,7 @@
                                     .repeatable = repeatable,
                                     .resumable = resumable,
                                     .answered = answered,
-                                    .give_up = late ? now : now + tick};
+                                    .expires_at = late ? now : now + tick};
             const bool ran_nothing = how == attempt_end::refused || how == attempt_end::unsent;
             const bool again = (ran_nothing || repeatable) && (!answered || resumable) &&
                                (!late || answered) && !last;
