--- a/tests/fleet/group_planner_test.cpp
+++ b/tests/fleet/group_planner_test.cpp
@@ -157,7 +157,7 @@
 }
 
 // Rule TWO. Guards against giving a member to another group while its head, which the leader can't
-// reach, still serves on the other side of a network partition (issue 23).
+// reach, still serves on the other side of a network partition.
 TEST(a_member, is_free_for_another_group_only_once_it_has_itself_left_its_own)
 {
     struct scenario {
