--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -79,8 +79,7 @@
     own.metrics = read_endpoint(in, "metrics", false);
     own.data_folder = in.string_or("data_folder", "");
     if (is_control && own.data_folder.empty()) {
-        in.fail("data_folder",
-                "is required: a control daemon stores the changes that it acknowledges");
+        in.fail("data_folder", "is required: acknowledged changes are stored there");
     }
     read_seeds(in, own);
     own.first_start = in.boolean_or("first_start", false);
