--- a/include/cedarpoint/config/json_reader.h
+++ b/include/cedarpoint/config/json_reader.h
@@ -38,15 +38,15 @@
     std::int64_t integer_or(const char* key, std::int64_t fallback, int_range range);
     double number_or(const char* key, double fallback, double low, double high);
     bool boolean_or(const char* key, bool fallback);
-    std::vector<std::string> strings_or_none(const char* key);
+    std::vector<std::string> strings_or_empty(const char* key);
 
     /// Calls `visit` with a reader for each object in the array under `key`; an absent key counts
     /// as an empty array.
-    void each(const char* key, const std::function<void(json_reader&)>& visit);
+    void for_each_object(const char* key, const std::function<void(json_reader&)>& visit);
     /// Calls `visit` with a reader for the object under `key`, if the key is present.
-    void object(const char* key, const std::function<void(json_reader&)>& visit);
+    void visit_object(const char* key, const std::function<void(json_reader&)>& visit);
 
-    void fail(const char* key, std::string text);
+    void add_fault(const char* key, std::string text);
     void finish();
     [[nodiscard]] bool has(const char* key) const;
     [[nodiscard]] const std::string& path() const { return path_; }
@@ -57,7 +57,7 @@
     const nlohmann::json& value_;
     std::string path_;
     faults& out_;
-    std::set<std::string, std::less<>> known_;
+    std::set<std::string, std::less<>> known_keys_;
 };
 
 } // namespace cedarpoint
--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -21,25 +21,25 @@
     const auto text = in.string("address");
     const auto it = endpoint::parse(text);
     if (!it && !text.empty()) {
-        in.fail("address", "must be an IP number and port, such as 127.0.0.1:9000");
+        in.add_fault("address", "must be an IP number and port, such as 127.0.0.1:9000");
     }
     return it.value_or(endpoint{});
 }
 
 void read_topology(json_reader& in, configuration& out)
 {
-    for (auto& it : in.strings_or_none("failure_domains")) {
+    for (auto& it : in.strings_or_empty("failure_domains")) {
         out.failure_domains.emplace_back(std::move(it));
     }
-    in.each("fabric_domains", [&](json_reader& e) {
+    in.for_each_object("fabric_domains", [&](json_reader& e) {
         out.fabric_domains.push_back(
             {fabric_domain_id{e.string("id")}, failure_domain_id{e.string("failure_domain")}});
     });
-    in.each("nodes", [&](json_reader& e) {
+    in.for_each_object("nodes", [&](json_reader& e) {
         out.nodes.push_back({node_id{e.string("id")}, fabric_domain_id{e.string("fabric_domain")},
                              static_cast<int>(e.integer_or("accelerators", 8, {1, 64}))});
     });
-    in.each("runners", [&](json_reader& e) {
+    in.for_each_object("runners", [&](json_reader& e) {
         out.runners.push_back({runner_id{e.string("id")}, node_id{e.string("node")},
                                read_address(e), e.boolean_or("checks_epoch", true),
                                static_cast<int>(e.integer_or("slots", 8, {1, 100000}))});
@@ -54,22 +54,22 @@
             return it;
         }
     }
-    in.fail("role", "must be converged, prefill or decode");
+    in.add_fault("role", "must be converged, prefill or decode");
     return group_role::converged;
 }
 
 void read_models(json_reader& in, configuration& out)
 {
-    in.each("models", [&](json_reader& e) {
-        out.models.push_back({model_id{e.string("id")}, e.strings_or_none("versions"),
-                              e.strings_or_none("adapters")});
+    in.for_each_object("models", [&](json_reader& e) {
+        out.models.push_back({model_id{e.string("id")}, e.strings_or_empty("versions"),
+                              e.strings_or_empty("adapters")});
     });
-    in.each("replica_groups", [&](json_reader& e) {
+    in.for_each_object("replica_groups", [&](json_reader& e) {
         pool_spec it;
         it.id = pool_id{e.string("id")};
         it.model = model_id{e.string("model")};
         it.version = e.string("version");
-        it.adapters = e.strings_or_none("adapters");
+        it.adapters = e.strings_or_empty("adapters");
         it.failure_domain = failure_domain_id{e.string("failure_domain")};
         it.size = static_cast<int>(e.integer("size", {min_group_nodes, max_group_nodes}));
         it.count = static_cast<int>(e.integer("count", {1, 10000}));
@@ -80,24 +80,24 @@
 
 void read_services(json_reader& in, configuration& out)
 {
-    in.each("services", [&](json_reader& e) {
+    in.for_each_object("services", [&](json_reader& e) {
         service_spec it;
         it.id = service_id{e.string("id")};
         it.path_prefix = e.string("path_prefix");
         if (!it.path_prefix.empty() && it.path_prefix.front() != '/') {
-            e.fail("path_prefix", "must begin with /");
+            e.add_fault("path_prefix", "must begin with /");
         }
         if (it.path_prefix.starts_with("/v1/") || it.path_prefix == "/v1") {
-            e.fail("path_prefix", "/v1 belongs to the models");
+            e.add_fault("path_prefix", "/v1 belongs to the models");
         }
-        e.each("upstreams", [&](json_reader& u) {
+        e.for_each_object("upstreams", [&](json_reader& u) {
             it.upstreams.push_back({runner_id{u.string("id")},
                                     failure_domain_id{u.string("failure_domain")}, read_address(u),
                                     static_cast<int>(u.integer_or("slots", 64, {1, 100000}))});
         });
         out.services.push_back(std::move(it));
     });
-    in.each("routing_rules", [&](json_reader& e) {
+    in.for_each_object("routing_rules", [&](json_reader& e) {
         route_spec it;
         it.model = model_id{e.string("model")};
         if (e.has("account")) {
@@ -106,11 +106,11 @@
         else {
             e.string_or("account", "");
         }
-        for (auto& name : e.strings_or_none("replica_groups")) {
+        for (auto& name : e.strings_or_empty("replica_groups")) {
             it.pools.emplace_back(std::move(name));
         }
         if (it.pools.empty()) {
-            e.fail("replica_groups", "must name at least one replica group");
+            e.add_fault("replica_groups", "must name at least one replica group");
         }
         out.routes.push_back(std::move(it));
     });
@@ -119,10 +119,10 @@
 std::vector<priority_class> read_priorities(json_reader& in)
 {
     std::vector<priority_class> out;
-    for (const auto& name : in.strings_or_none("priorities")) {
+    for (const auto& name : in.strings_or_empty("priorities")) {
         const auto it = parse_priority(name);
         if (!it) {
-            in.fail("priorities", "\"" + name + "\" is not alarm, normal or bulk");
+            in.add_fault("priorities", "\"" + name + "\" is not alarm, normal or bulk");
             continue;
         }
         out.push_back(*it);
@@ -135,12 +135,12 @@
 
 void read_accounts(json_reader& in, configuration& out)
 {
-    in.each("client_accounts", [&](json_reader& e) {
+    in.for_each_object("client_accounts", [&](json_reader& e) {
         account_spec it;
         it.id = client_account_id{e.string("id")};
         it.key_sha256 = e.string("key_sha256");
         if (!it.key_sha256.empty() && !is_sha256_hex(it.key_sha256)) {
-            e.fail("key_sha256", "must be 64 lower-case hex digits: the SHA-256 of the key");
+            e.add_fault("key_sha256", "must be 64 lower-case hex digits: the SHA-256 of the key");
         }
         it.weight = static_cast<int>(e.integer_or("weight", 1, {1, 1000}));
         it.home_failure_domain = failure_domain_id{e.string("home_failure_domain")};
@@ -150,7 +150,7 @@
             static_cast<int>(e.integer_or("requests_per_minute", 0, {0, 100000000}));
         out.accounts.push_back(std::move(it));
     });
-    in.object("objectives", [&](json_reader& e) {
+    in.visit_object("objectives", [&](json_reader& e) {
         out.objectives.group_downtime = e.number_or("group_downtime", 1, 0, 1e6);
         out.objectives.stranded_accelerators = e.number_or("stranded_accelerators", 1, 0, 1e6);
     });
@@ -307,7 +307,7 @@
 
 std::optional<configuration> configuration::parse(std::string_view text, faults& out)
 {
-    const auto before = out.size();
+    const auto faults_before = out.size();
     const auto value = parse_json(text, out);
     if (!value) {
         return {};
@@ -322,7 +322,7 @@
     read_accounts(in, it);
     in.finish();
     reference_check{it, out}.run();
-    if (out.size() != before) {
+    if (out.size() != faults_before) {
         return {};
     }
     return it;
--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -10,15 +10,15 @@
 /// Needs nine voters.
 constexpr std::int64_t max_tolerated_losses = 4;
 
-std::optional<endpoint> read_endpoint(json_reader& in, const char* key, bool needed)
+std::optional<endpoint> read_endpoint(json_reader& in, const char* key, bool required)
 {
-    const auto text = needed ? in.string(key) : in.string_or(key, "");
+    const auto text = required ? in.string(key) : in.string_or(key, "");
     if (text.empty()) {
         return {};
     }
     auto out = endpoint::parse(text);
     if (!out) {
-        in.fail(key, "must be an IP address and port, such as 127.0.0.1:8080");
+        in.add_fault(key, "must be an IP address and port, such as 127.0.0.1:8080");
     }
     return out;
 }
@@ -30,20 +30,20 @@
 
 void read_seeds(json_reader& in, fleet_settings& out)
 {
-    for (const auto& text : in.strings_or_none("seeds")) {
+    for (const auto& text : in.strings_or_empty("seeds")) {
         if (const auto seed = endpoint::parse(text)) {
             out.seeds.push_back(*seed);
         }
         else {
-            in.fail("seeds", "\"" + text + "\" must be an IP address and port");
+            in.add_fault("seeds", "\"" + text + "\" must be an IP address and port");
         }
     }
     if (out.seeds.empty()) {
-        in.fail("seeds", "must name at least one control daemon");
+        in.add_fault("seeds", "must name at least one control daemon");
     }
 }
 
-void read_budget(json_reader& in, retry_budget_options& out)
+void read_retry_budget(json_reader& in, retry_budget_options& out)
 {
     constexpr double max_slack = 1e6;
     out.ratio = in.number_or("ratio", out.ratio, 0, 1);
@@ -56,45 +56,45 @@
 
 std::optional<fleet_settings> fleet_settings::parse(std::string_view text, faults& out)
 {
-    const auto before = out.size();
+    const auto faults_before = out.size();
     const auto value = parse_json(text, out);
     if (!value) {
         return {};
     }
-    fleet_settings own;
+    fleet_settings it;
     json_reader in{*value, "", out};
     const auto role = in.string("role");
     const bool is_control = role == "control";
     if (!is_control && role != "entry") {
-        in.fail("role", "must be \"control\" or \"entry\"");
+        in.add_fault("role", "must be \"control\" or \"entry\"");
     }
-    own.role = is_control ? fleet_role::control : fleet_role::entry;
-    own.name = in.string("name");
-    own.failure_domain = failure_domain_id{in.string("failure_domain")};
-    own.address = read_endpoint(in, "address", true).value_or(endpoint{});
-    own.bind = read_endpoint(in, "bind", false);
-    own.callers = read_endpoint(in, "callers", !is_control);
-    own.ready = read_endpoint(in, "ready", !is_control);
-    own.control = read_endpoint(in, "control", is_control);
-    own.metrics = read_endpoint(in, "metrics", false);
-    own.data_folder = in.string_or("data_folder", "");
-    if (is_control && own.data_folder.empty()) {
-        in.fail("data_folder", "is required: acknowledged changes are stored there");
+    it.role = is_control ? fleet_role::control : fleet_role::entry;
+    it.name = in.string("name");
+    it.failure_domain = failure_domain_id{in.string("failure_domain")};
+    it.address = read_endpoint(in, "address", true).value_or(endpoint{});
+    it.bind = read_endpoint(in, "bind", false);
+    it.callers = read_endpoint(in, "callers", !is_control);
+    it.ready = read_endpoint(in, "ready", !is_control);
+    it.control = read_endpoint(in, "control", is_control);
+    it.metrics = read_endpoint(in, "metrics", false);
+    it.data_folder = in.string_or("data_folder", "");
+    if (is_control && it.data_folder.empty()) {
+        in.add_fault("data_folder", "is required: acknowledged changes are stored there");
     }
-    read_seeds(in, own);
-    own.first_start = in.boolean_or("first_start", false);
-    own.tolerated_losses =
+    read_seeds(in, it);
+    it.first_start = in.boolean_or("first_start", false);
+    it.tolerated_losses =
         static_cast<std::size_t>(in.integer_or("tolerated_losses", 1, {0, max_tolerated_losses}));
-    own.heartbeat = read_ms(in, "heartbeat_ms", own.heartbeat);
-    own.stall = read_ms(in, "stall_ms", own.stall);
-    own.stop_bound = read_ms(in, "stop_bound_ms", own.stop_bound);
-    in.object("retry_budget", [&](json_reader& each) { read_budget(each, own.budget); });
-    own.json_logs = in.boolean_or("json_logs", false);
+    it.heartbeat = read_ms(in, "heartbeat_ms", it.heartbeat);
+    it.stall = read_ms(in, "stall_ms", it.stall);
+    it.stop_bound = read_ms(in, "stop_bound_ms", it.stop_bound);
+    in.visit_object("retry_budget", [&](json_reader& e) { read_retry_budget(e, it.budget); });
+    it.json_logs = in.boolean_or("json_logs", false);
     in.finish();
-    if (out.size() != before) {
+    if (out.size() != faults_before) {
         return {};
     }
-    return own;
+    return it;
 }
 
 } // namespace cedarpoint
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -8,9 +8,9 @@
 using json = nlohmann::json;
 
 /// Parser callback that rejects what the library accepts: duplicate keys and deep nesting.
-class strict_handler {
+class strict_parser_callback {
 public:
-    explicit strict_handler(faults& out) : out_{out} {}
+    explicit strict_parser_callback(faults& out) : out_{out} {}
 
     bool operator()(int depth, json::parse_event_t event, json& value)
     {
@@ -49,11 +49,11 @@
 {
     faults found;
     try {
-        strict_handler handler{found};
+        strict_parser_callback callback{found};
         auto value = json::parse(
             text,
             [&](int depth, json::parse_event_t event, json& it) {
-                return handler(depth, event, it);
+                return callback(depth, event, it);
             },
             true, true);
         if (found.empty()) {
@@ -82,17 +82,17 @@
 
 const json* json_reader::find(const char* key, bool required)
 {
-    known_.insert(key);
+    known_keys_.insert(key);
     if (has(key)) {
         return &value_[key];
     }
     if (required && value_.is_object()) {
-        fail(key, "is missing");
+        add_fault(key, "is missing");
     }
     return nullptr;
 }
 
-void json_reader::fail(const char* key, std::string text)
+void json_reader::add_fault(const char* key, std::string text)
 {
     out_.push_back({path_ + "/" + key, std::move(text)});
 }
@@ -104,7 +104,7 @@
         return {};
     }
     if (!it->is_string() || it->get_ref<const std::string&>().empty()) {
-        fail(key, "must be a string that is not empty");
+        add_fault(key, "must be a string that is not empty");
         return {};
     }
     return it->get<std::string>();
@@ -117,7 +117,7 @@
         return fallback;
     }
     if (!it->is_string()) {
-        fail(key, "must be a string");
+        add_fault(key, "must be a string");
         return fallback;
     }
     return it->get<std::string>();
@@ -134,7 +134,7 @@
                        it->get<std::uint64_t>() <= static_cast<std::uint64_t>(range.high)) &&
                       it->get<std::int64_t>() >= range.low && it->get<std::int64_t>() <= range.high;
     if (!fits) {
-        fail(key, fmt::format("must be a whole number from {} to {}", range.low, range.high));
+        add_fault(key, fmt::format("must be a whole number from {} to {}", range.low, range.high));
         return range.low;
     }
     return it->get<std::int64_t>();
@@ -152,7 +152,7 @@
         return fallback;
     }
     if (!it->is_number() || it->get<double>() < low || it->get<double>() > high) {
-        fail(key, fmt::format("must be a number from {} to {}", low, high));
+        add_fault(key, fmt::format("must be a number from {} to {}", low, high));
         return fallback;
     }
     return it->get<double>();
@@ -165,13 +165,13 @@
         return fallback;
     }
     if (!it->is_boolean()) {
-        fail(key, "must be true or false");
+        add_fault(key, "must be true or false");
         return fallback;
     }
     return it->get<bool>();
 }
 
-std::vector<std::string> json_reader::strings_or_none(const char* key)
+std::vector<std::string> json_reader::strings_or_empty(const char* key)
 {
     std::vector<std::string> out;
     const auto* it = find(key, false);
@@ -179,12 +179,12 @@
         return out;
     }
     if (!it->is_array()) {
-        fail(key, "must be an array of strings");
+        add_fault(key, "must be an array of strings");
         return out;
     }
     for (const auto& element : *it) {
         if (!element.is_string()) {
-            fail(key, "must be an array of strings");
+            add_fault(key, "must be an array of strings");
             return out;
         }
         out.push_back(element.get<std::string>());
@@ -192,14 +192,14 @@
     return out;
 }
 
-void json_reader::each(const char* key, const std::function<void(json_reader&)>& visit)
+void json_reader::for_each_object(const char* key, const std::function<void(json_reader&)>& visit)
 {
     const auto* it = find(key, false);
     if (it == nullptr) {
         return;
     }
     if (!it->is_array()) {
-        fail(key, "must be an array of objects");
+        add_fault(key, "must be an array of objects");
         return;
     }
     for (std::size_t n = 0; n < it->size(); ++n) {
@@ -209,7 +209,7 @@
     }
 }
 
-void json_reader::object(const char* key, const std::function<void(json_reader&)>& visit)
+void json_reader::visit_object(const char* key, const std::function<void(json_reader&)>& visit)
 {
     const auto* it = find(key, false);
     if (it == nullptr) {
@@ -226,7 +226,7 @@
         return;
     }
     for (const auto& [key, unused] : value_.items()) {
-        if (!known_.contains(key)) {
+        if (!known_keys_.contains(key)) {
             out_.push_back({path_ + "/" + key, "is not a known key"});
         }
     }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -13,7 +13,7 @@
     const auto text = in.string(key);
     const auto it = endpoint::parse(text);
     if (!it && !text.empty()) {
-        in.fail(key, "must be an IP address and port, such as 127.0.0.1:8080");
+        in.add_fault(key, "must be an IP address and port, such as 127.0.0.1:8080");
     }
     return it.value_or(endpoint{});
 }
@@ -41,7 +41,7 @@
 
 void read_peers(json_reader& in, settings& out)
 {
-    in.each("peers", [&](json_reader& e) {
+    in.for_each_object("peers", [&](json_reader& e) {
         out.peers.push_back({daemon_id{e.string("id")}, read_endpoint(e, "address"),
                              failure_domain_id{e.string("failure_domain")},
                              e.boolean_or("root_voter", false),
@@ -100,7 +100,8 @@
     it.data_folder = in.string_or("data_folder", "");
     it.operator_key_sha256 = in.string_or("operator_key_sha256", "");
     if (!it.operator_key_sha256.empty() && !is_sha256_hex(it.operator_key_sha256)) {
-        in.fail("operator_key_sha256", "must be 64 lower-case hex digits: the SHA-256 of the key");
+        in.add_fault("operator_key_sha256",
+                     "must be 64 lower-case hex digits: the SHA-256 of the key");
     }
 }
 
@@ -108,7 +109,7 @@
 void read_limits_and_keys(json_reader& in, settings& it)
 {
     it.json_logs = in.boolean_or("json_logs", false);
-    in.object("limits", [&](json_reader& e) { read_limits(e, it.limits); });
+    in.visit_object("limits", [&](json_reader& e) { read_limits(e, it.limits); });
     it.stop_bound = read_ms(in, "stop_bound_ms", it.stop_bound, {0, 86'400'000});
     it.watch_interval = read_ms(in, "watch_interval_ms", it.watch_interval, {50, 60'000});
     it.grant_ttl = read_ms(in, "grant_ttl_ms", it.grant_ttl, {300, 60'000});
@@ -120,7 +121,7 @@
 
 std::optional<settings> settings::parse(std::string_view text, faults& out)
 {
-    const auto before = out.size();
+    const auto faults_before = out.size();
     const auto value = parse_json(text, out);
     if (!value) {
         return {};
@@ -136,7 +137,7 @@
     }
     check_addresses(it, out);
     check_peers(it, out);
-    if (out.size() != before) {
+    if (out.size() != faults_before) {
         return {};
     }
     return it;
