--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -58,7 +58,7 @@
     return group_role::converged;
 }
 
-void read_models(json_reader& in, configuration& out)
+void read_models_and_pools(json_reader& in, configuration& out)
 {
     in.for_each_object("models", [&](json_reader& e) {
         out.models.push_back({model_id{e.string("id")}, e.strings_or_empty("versions"),
@@ -78,7 +78,7 @@
     });
 }
 
-void read_services(json_reader& in, configuration& out)
+void read_services_and_routes(json_reader& in, configuration& out)
 {
     in.for_each_object("services", [&](json_reader& e) {
         service_spec it;
@@ -133,7 +133,7 @@
     return out;
 }
 
-void read_accounts(json_reader& in, configuration& out)
+void read_accounts_and_objectives(json_reader& in, configuration& out)
 {
     in.for_each_object("client_accounts", [&](json_reader& e) {
         account_spec it;
@@ -157,94 +157,96 @@
 }
 
 /// Checks that ids are unique and that every reference names a declared object.
-class reference_check {
+class reference_checker {
 public:
-    reference_check(const configuration& config, faults& out) : config_{config}, out_{out} {}
+    reference_checker(const configuration& config, faults& out) : config_{config}, out_{out} {}
 
     void run()
     {
-        check_unique();
+        check_uniqueness();
         check_topology();
-        check_models();
+        check_pools_and_routes();
         check_services();
         check_accounts();
     }
 
 private:
-    template <class T, class Project>
-    void unique(const char* list, const std::vector<T>& all, Project project)
+    template <class T, class Projection>
+    void require_unique(const char* list, const std::vector<T>& all, Projection projection)
     {
         std::set<std::string> seen;
         for (std::size_t n = 0; n < all.size(); ++n) {
-            const auto name = project(all[n]);
+            const auto name = projection(all[n]);
             if (!name.empty() && !seen.insert(name).second) {
-                add(list, n, "id", "\"" + name + "\" stands twice");
+                add_fault(list, n, "id", "\"" + name + "\" stands twice");
             }
         }
     }
 
-    void add(const char* list, std::size_t n, const char* key, std::string text)
+    void add_fault(const char* list, std::size_t n, const char* key, std::string text)
     {
         out_.push_back({fmt::format("/{}/{}/{}", list, n, key), std::move(text)});
     }
 
-    void check_unique()
+    void check_uniqueness()
     {
         const auto by_id = [](const auto& e) { return e.id.str(); };
-        unique("failure_domains", config_.failure_domains, [](const auto& e) { return e.str(); });
-        unique("fabric_domains", config_.fabric_domains, by_id);
-        unique("nodes", config_.nodes, by_id);
-        unique("runners", config_.runners, by_id);
-        unique("runners", config_.runners, [](const auto& e) { return e.address.str(); });
-        unique("runners", config_.runners, [](const auto& e) { return e.node.str(); });
-        unique("models", config_.models, by_id);
-        unique("replica_groups", config_.pools, by_id);
-        unique("services", config_.services, by_id);
-        unique("services", config_.services, [](const auto& e) { return e.path_prefix; });
-        unique("client_accounts", config_.accounts, by_id);
-        unique("client_accounts", config_.accounts, [](const auto& e) { return e.key_sha256; });
+        require_unique("failure_domains", config_.failure_domains,
+                       [](const auto& e) { return e.str(); });
+        require_unique("fabric_domains", config_.fabric_domains, by_id);
+        require_unique("nodes", config_.nodes, by_id);
+        require_unique("runners", config_.runners, by_id);
+        require_unique("runners", config_.runners, [](const auto& e) { return e.address.str(); });
+        require_unique("runners", config_.runners, [](const auto& e) { return e.node.str(); });
+        require_unique("models", config_.models, by_id);
+        require_unique("replica_groups", config_.pools, by_id);
+        require_unique("services", config_.services, by_id);
+        require_unique("services", config_.services, [](const auto& e) { return e.path_prefix; });
+        require_unique("client_accounts", config_.accounts, by_id);
+        require_unique("client_accounts", config_.accounts,
+                       [](const auto& e) { return e.key_sha256; });
     }
 
-    void require_domain(const char* list, std::size_t n, const char* key,
-                        const failure_domain_id& id)
+    void require_failure_domain(const char* list, std::size_t n, const char* key,
+                                const failure_domain_id& id)
     {
         const auto& all = config_.failure_domains;
         if (!id.empty() && std::find(all.begin(), all.end(), id) == all.end()) {
-            add(list, n, key, "\"" + id.str() + "\" is not a declared failure domain");
+            add_fault(list, n, key, "\"" + id.str() + "\" is not a declared failure domain");
         }
     }
 
     void check_topology()
     {
         for (std::size_t n = 0; n < config_.fabric_domains.size(); ++n) {
-            require_domain("fabric_domains", n, "failure_domain",
-                           config_.fabric_domains[n].failure_domain);
+            require_failure_domain("fabric_domains", n, "failure_domain",
+                                   config_.fabric_domains[n].failure_domain);
         }
         for (std::size_t n = 0; n < config_.nodes.size(); ++n) {
             if (const auto& id = config_.nodes[n].fabric_domain;
                 !id.empty() && config_.find_fabric(id) == nullptr) {
-                add("nodes", n, "fabric_domain",
-                    "\"" + id.str() + "\" is not a declared fabric domain");
+                add_fault("nodes", n, "fabric_domain",
+                          "\"" + id.str() + "\" is not a declared fabric domain");
             }
         }
         for (std::size_t n = 0; n < config_.runners.size(); ++n) {
             if (const auto& id = config_.runners[n].node;
                 !id.empty() && config_.find_node(id) == nullptr) {
-                add("runners", n, "node", "\"" + id.str() + "\" is not a declared node");
+                add_fault("runners", n, "node", "\"" + id.str() + "\" is not a declared node");
             }
         }
     }
 
-    void check_models()
+    void check_pools_and_routes()
     {
         for (std::size_t n = 0; n < config_.pools.size(); ++n) {
             const auto& pool = config_.pools[n];
-            require_domain("replica_groups", n, "failure_domain", pool.failure_domain);
+            require_failure_domain("replica_groups", n, "failure_domain", pool.failure_domain);
             const auto it = std::find_if(config_.models.begin(), config_.models.end(),
                                          [&](const model_spec& e) { return e.id == pool.model; });
             if (it == config_.models.end()) {
-                add("replica_groups", n, "model",
-                    "\"" + pool.model.str() + "\" is not a declared model");
+                add_fault("replica_groups", n, "model",
+                          "\"" + pool.model.str() + "\" is not a declared model");
                 continue;
             }
             require_listed(n, "version", it->versions, pool.version);
@@ -261,7 +263,7 @@
                         const std::string& name)
     {
         if (!name.empty() && std::find(all.begin(), all.end(), name) == all.end()) {
-            add("replica_groups", n, key, "\"" + name + "\" is not declared for the model");
+            add_fault("replica_groups", n, key, "\"" + name + "\" is not declared for the model");
         }
     }
 
@@ -270,15 +272,17 @@
         for (const auto& id : route.pools) {
             const auto* pool = config_.find_pool(id);
             if (pool == nullptr) {
-                add("routing_rules", n, "replica_groups", "\"" + id.str() + "\" is not declared");
+                add_fault("routing_rules", n, "replica_groups",
+                          "\"" + id.str() + "\" is not declared");
             }
             else if (pool->model != route.model) {
-                add("routing_rules", n, "replica_groups",
-                    "\"" + id.str() + "\" serves model \"" + pool->model.str() + "\"");
+                add_fault("routing_rules", n, "replica_groups",
+                          "\"" + id.str() + "\" serves model \"" + pool->model.str() + "\"");
             }
         }
         if (route.account && config_.find_account(*route.account) == nullptr) {
-            add("routing_rules", n, "account", "\"" + route.account->str() + "\" is not declared");
+            add_fault("routing_rules", n, "account",
+                      "\"" + route.account->str() + "\" is not declared");
         }
     }
 
@@ -286,7 +290,7 @@
     {
         for (std::size_t n = 0; n < config_.services.size(); ++n) {
             for (const auto& it : config_.services[n].upstreams) {
-                require_domain("services", n, "upstreams", it.failure_domain);
+                require_failure_domain("services", n, "upstreams", it.failure_domain);
             }
         }
     }
@@ -294,8 +298,8 @@
     void check_accounts()
     {
         for (std::size_t n = 0; n < config_.accounts.size(); ++n) {
-            require_domain("client_accounts", n, "home_failure_domain",
-                           config_.accounts[n].home_failure_domain);
+            require_failure_domain("client_accounts", n, "home_failure_domain",
+                                   config_.accounts[n].home_failure_domain);
         }
     }
 
@@ -317,11 +321,11 @@
     it.based_on.value = static_cast<std::uint64_t>(in.integer("based_on", {}));
     it.change = change_id{in.string("change_id")};
     read_topology(in, it);
-    read_models(in, it);
-    read_services(in, it);
-    read_accounts(in, it);
+    read_models_and_pools(in, it);
+    read_services_and_routes(in, it);
+    read_accounts_and_objectives(in, it);
     in.finish();
-    reference_check{it, out}.run();
+    reference_checker{it, out}.run();
     if (out.size() != faults_before) {
         return {};
     }
