--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -47,11 +47,11 @@
 }
 
 template <class T>
-void compare(const char* kind, const std::vector<T>& from, const std::vector<T>& to,
-             std::vector<plan_line>& out)
+void append_changes(const char* kind, const std::vector<T>& from, const std::vector<T>& to,
+                    std::vector<plan_line>& out)
 {
-    const auto find = [](const std::vector<T>& all, const T& like) {
-        return std::find_if(all.begin(), all.end(), [&](const T& e) { return e.id == like.id; });
+    const auto find = [](const std::vector<T>& all, const T& wanted) {
+        return std::find_if(all.begin(), all.end(), [&](const T& e) { return e.id == wanted.id; });
     };
     for (const auto& it : to) {
         const auto old = find(from, it);
@@ -94,13 +94,13 @@
             out.push_back({"remove", "failure_domain " + it.str()});
         }
     }
-    compare("fabric_domain", from.fabric_domains, to.fabric_domains, out);
-    compare("node", from.nodes, to.nodes, out);
-    compare("runner", from.runners, to.runners, out);
-    compare("model", from.models, to.models, out);
-    compare("replica_group", from.pools, to.pools, out);
-    compare("service", from.services, to.services, out);
-    compare("client_account", from.accounts, to.accounts, out);
+    append_changes("fabric_domain", from.fabric_domains, to.fabric_domains, out);
+    append_changes("node", from.nodes, to.nodes, out);
+    append_changes("runner", from.runners, to.runners, out);
+    append_changes("model", from.models, to.models, out);
+    append_changes("replica_group", from.pools, to.pools, out);
+    append_changes("service", from.services, to.services, out);
+    append_changes("client_account", from.accounts, to.accounts, out);
     if (!same_routes(from, to)) {
         out.push_back({"change", "routing_rules"});
     }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -85,7 +85,7 @@
 }
 
 /// Reads the daemon's id, its listeners, its data folder and the operators' key.
-void read_identity(json_reader& in, settings& it)
+void read_identity_and_listeners(json_reader& in, settings& it)
 {
     it.id = daemon_id{in.string("id")};
     it.failure_domain = failure_domain_id{in.string("failure_domain")};
@@ -128,7 +128,7 @@
     }
     settings it;
     json_reader in{*value, "", out};
-    read_identity(in, it);
+    read_identity_and_listeners(in, it);
     read_limits_and_keys(in, it);
     read_peers(in, it);
     in.finish();
