--- a/include/cedarpoint/config/configuration.h
+++ b/include/cedarpoint/config/configuration.h
@@ -14,7 +14,7 @@
 
 namespace cedarpoint {
 
-/// The stages of inference that a replica group runs for a model.
+/// The stages of inference that a replica group runs for a model; `converged` is both.
 enum class group_role { converged, prefill, decode };
 
 /// Priority of a request; a smaller value is served first.
@@ -33,7 +33,7 @@
     int accelerators = 0;
 };
 
-/// The engine process on a node.
+/// The inference engine process on a node.
 struct runner_spec {
     runner_id id;
     node_id node;
@@ -42,7 +42,7 @@
     int slots = 1;            ///< concurrent requests when it is the first runner of a group
 };
 
-/// A model with the versions and adapters of it that can be loaded.
+/// A model with its versions and adapters that can be loaded.
 struct model_spec {
     model_id id;
     std::vector<std::string> versions;
@@ -61,7 +61,7 @@
     group_role role = group_role::converged;
 };
 
-/// One process of an HTTP service.
+/// One server process of an HTTP service.
 struct upstream_spec {
     runner_id id;
     failure_domain_id failure_domain;
@@ -69,7 +69,7 @@
     int slots = 1;
 };
 
-/// An HTTP service that serves no model; calls are routed to it by path prefix.
+/// An HTTP service other than a model; requests are routed to it by path prefix.
 struct service_spec {
     service_id id;
     std::string path_prefix;
@@ -86,10 +86,10 @@
 /// A client account with its scheduling weight and its limits.
 struct account_spec {
     client_account_id id;
-    std::string key_sha256; ///< lower-case hex of the secret's digest
+    std::string key_sha256; ///< SHA-256 of the API key, in lower-case hex
     int weight = 1;
     failure_domain_id home_failure_domain;
-    std::vector<priority_class> priorities; ///< that it may request; the first is its default
+    std::vector<priority_class> priorities; ///< those it may request; the first is the default
     int max_in_flight = 0;
     int requests_per_minute = 0; ///< 0: unlimited
 };
@@ -101,7 +101,7 @@
     double stranded_accelerators = 1;
 };
 
-/// The content of one declarative file, accepted or proposed.
+/// The content of a declarative file, whether in force or proposed.
 struct configuration {
     std::vector<failure_domain_id> failure_domains;
     std::vector<fabric_domain_spec> fabric_domains;
--- a/include/cedarpoint/config/fault.h
+++ b/include/cedarpoint/config/fault.h
@@ -5,10 +5,10 @@
 
 namespace cedarpoint {
 
-/// One error in a file: the JSON pointer of the value and the reason.
+/// One error in a file.
 struct fault {
-    std::string path;
-    std::string text;
+    std::string path; ///< JSON pointer of the value
+    std::string text; ///< what is wrong with it
     friend bool operator==(const fault&, const fault&) = default;
 };
 
--- a/include/cedarpoint/config/fleet_settings.h
+++ b/include/cedarpoint/config/fleet_settings.h
@@ -19,26 +19,26 @@
     entry    ///< serves callers' requests; receives the fleet's state from the control daemons
 };
 
-/// Settings of one process of a fleet. Other daemons are discovered through the seeds.
+/// Settings of one daemon of a fleet. Other daemons are discovered through the seeds.
 struct fleet_settings {
     fleet_role role = fleet_role::entry;
     std::string name; ///< used in logs only
     failure_domain_id failure_domain;
-    endpoint address;                ///< for other daemons; all daemons use the same port
-    std::optional<endpoint> bind;    ///< listening address for other daemons, if not `address`
+    endpoint address;                ///< advertised to other daemons; all daemons use the same port
+    std::optional<endpoint> bind;    ///< local address to listen on, if not `address`
     std::optional<endpoint> callers; ///< entry: listener for callers' requests
     std::optional<endpoint> ready;   ///< entry: listener for the load balancer's readiness checks
     std::optional<endpoint> control; ///< control: listener for calls of operators and runners
     std::optional<endpoint> metrics;
     std::string data_folder;          ///< control: folder of durable state
     std::vector<endpoint> seeds;      ///< `control` addresses of some control daemons
-    std::size_t tolerated_losses = 1; ///< control: voters that may fail at the same time
-    bool first_start = false;         ///< the whole system starts for the first time
-    milliseconds heartbeat{1200};     ///< between two heartbeats of a runner
+    std::size_t tolerated_losses = 1; ///< control: number of voters that may fail at once
+    bool first_start = false; ///< control: the fleet is new, and the seeds are its initial voters
+    milliseconds heartbeat{1200}; ///< interval between two heartbeats of a runner
     /// Time after which a group head that has lost its members fails. Parsed and checked so that
     /// existing files stay valid; no decision depends on it.
     milliseconds stall{4000};
-    milliseconds stop_bound{8000}; ///< longest duration of a planned stop
+    milliseconds stop_bound{8000}; ///< longest duration of a graceful shutdown
     retry_budget_options budget;   ///< entry: retries beyond first attempts
     bool json_logs = false;
 
--- a/include/cedarpoint/config/settings.h
+++ b/include/cedarpoint/config/settings.h
@@ -12,16 +12,16 @@
 
 namespace cedarpoint {
 
-/// One daemon in the list of peers, as given in the settings.
+/// One entry of the list of peers.
 struct peer_spec {
     daemon_id id;
-    endpoint address; ///< its listener for daemons
+    endpoint address; ///< its listener for connections from other daemons
     failure_domain_id failure_domain;
     bool root_voter = false;   ///< votes on the configuration
     bool domain_voter = false; ///< votes on its failure domain's groups and claims
 };
 
-/// Limits of the listener for callers.
+/// Limits of an HTTP listener.
 struct caller_limits {
     std::size_t max_connections = 4096;
     std::size_t max_head_bytes = std::size_t{16} << 10;
@@ -32,7 +32,7 @@
     milliseconds body_timeout{30'000};
 };
 
-/// Settings of one process.
+/// Settings of a daemon whose peers are a fixed list.
 struct settings {
     daemon_id id;
     failure_domain_id failure_domain;
@@ -43,9 +43,9 @@
     std::string operator_key_sha256; ///< empty: the operators' listener needs no key
     bool json_logs = false;
     caller_limits limits;
-    /// Longest wait for open requests and connections on a planned stop.
+    /// Longest wait for open requests and connections during a graceful shutdown.
     milliseconds stop_bound{30'000};
-    milliseconds watch_interval{1000}; ///< between two polls of the runners
+    milliseconds watch_interval{1000}; ///< between two polls of a runner
     milliseconds grant_ttl{3000};      ///< a group whose grant is older is not used
     std::vector<peer_spec> peers;      ///< all daemons, this one included; empty when embedded
     std::string curve_secret_file;     ///< empty: daemons communicate unencrypted
--- a/src/config/configuration_parser.cpp
+++ b/src/config/configuration_parser.cpp
@@ -1,4 +1,5 @@
-// Parses and validates the declarative file: first the types of its values, then its references.
+// Parses and validates the declarative file: first the types and ranges of its values, then the
+// references between them.
 
 #include "cedarpoint/config/configuration.h"
 #include "cedarpoint/config/json_reader.h"
@@ -12,7 +13,7 @@
 namespace cedarpoint {
 namespace {
 
-// The users' replicas span 4 to 32 nodes.
+// Replicas in the supported deployments span 4 to 32 nodes.
 constexpr int min_group_nodes = 4;
 constexpr int max_group_nodes = 32;
 
@@ -156,7 +157,8 @@
     });
 }
 
-/// Checks that ids are unique and that every reference names a declared object.
+/// Checks that every reference names a declared object, and that ids and all other values that
+/// identify an object are unique: addresses, nodes of runners, path prefixes and key digests.
 class reference_checker {
 public:
     reference_checker(const configuration& config, faults& out) : config_{config}, out_{out} {}
--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -7,7 +7,7 @@
 
 /// Upper bound of every duration in the settings: one day.
 constexpr std::int64_t max_duration_ms = 86'400'000;
-/// Needs nine voters.
+/// Tolerating four losses takes nine voters.
 constexpr std::int64_t max_tolerated_losses = 4;
 
 std::optional<endpoint> read_endpoint(json_reader& in, const char* key, bool required)
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -7,7 +7,7 @@
 
 using json = nlohmann::json;
 
-/// Parser callback that rejects what the library accepts: duplicate keys and deep nesting.
+/// Parser callback that rejects duplicate keys and deep nesting, which the library accepts.
 class strict_parser_callback {
 public:
     explicit strict_parser_callback(faults& out) : out_{out} {}
@@ -32,6 +32,7 @@
     }
 
 private:
+    /// Records the first fault only: nesting that is too deep is found again at every deeper level.
     void report(std::string text)
     {
         if (out_.empty()) {
@@ -40,7 +41,7 @@
     }
 
     faults& out_;
-    std::vector<std::set<std::string>> keys_;
+    std::vector<std::set<std::string>> keys_; ///< seen so far in each open object, outermost first
 };
 
 } // namespace
@@ -55,7 +56,7 @@
             [&](int depth, json::parse_event_t event, json& it) {
                 return callback(depth, event, it);
             },
-            true, true);
+            /*allow_exceptions=*/true, /*ignore_comments=*/true);
         if (found.empty()) {
             return value;
         }
@@ -129,6 +130,7 @@
     if (it == nullptr) {
         return range.low;
     }
+    // An unsigned value above the range of int64_t would wrap around in get<std::int64_t>().
     const bool fits = it->is_number_integer() &&
                       (!it->is_number_unsigned() ||
                        it->get<std::uint64_t>() <= static_cast<std::uint64_t>(range.high)) &&
--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -5,6 +5,8 @@
 namespace cedarpoint {
 namespace {
 
+// Each `same` compares two versions of an object in all fields but the id.
+
 bool same(const fabric_domain_spec& a, const fabric_domain_spec& b)
 {
     return a.failure_domain == b.failure_domain;
@@ -28,6 +30,7 @@
            a.failure_domain == b.failure_domain && a.size == b.size && a.count == b.count &&
            a.role == b.role;
 }
+/// Compares the ids too: the upstreams of a service are matched by position.
 bool same(const upstream_spec& a, const upstream_spec& b)
 {
     return a.id == b.id && a.failure_domain == b.failure_domain && a.address == b.address &&
@@ -46,6 +49,7 @@
            a.max_in_flight == b.max_in_flight && a.requests_per_minute == b.requests_per_minute;
 }
 
+/// Appends what was added, changed and removed between two lists of objects, matched by id.
 template <class T>
 void append_changes(const char* kind, const std::vector<T>& from, const std::vector<T>& to,
                     std::vector<plan_line>& out)
@@ -69,6 +73,7 @@
     }
 }
 
+/// Routes have no id and their order matters, so the lists are compared as a whole.
 bool same_routes(const configuration& a, const configuration& b)
 {
     return std::equal(a.routes.begin(), a.routes.end(), b.routes.begin(), b.routes.end(),
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -51,6 +51,7 @@
 
 void check_addresses(const settings& it, faults& out)
 {
+    // Port 0 stands for an address that failed to parse, which is reported already.
     if (it.callers == it.operators && it.callers.port != 0) {
         out.push_back({"/operators", "must differ from the address of /callers"});
     }
@@ -105,7 +106,7 @@
     }
 }
 
-/// Reads logging, limits, durations and the keys for connections between daemons.
+/// Reads logging, limits, durations and the CURVE keys for connections between daemons.
 void read_limits_and_keys(json_reader& in, settings& it)
 {
     it.json_logs = in.boolean_or("json_logs", false);
@@ -133,7 +134,7 @@
     read_peers(in, it);
     in.finish();
     if (it.curve_secret_file.empty() != it.curve_public_key.empty()) {
-        out.push_back({"/curve_secret_file", "and /curve_public_key must be given together"});
+        out.push_back({"/curve_secret_file", "must be given together with /curve_public_key"});
     }
     check_addresses(it, out);
     check_peers(it, out);
