--- a/tests/config/configuration_test.cpp
+++ b/tests/config/configuration_test.cpp
@@ -23,12 +23,12 @@
     return out;
 }
 
-bool names(const faults& all, const std::string& path)
+bool has_fault_at(const faults& all, const std::string& path)
 {
     return std::any_of(all.begin(), all.end(), [&](const fault& it) { return it.path == path; });
 }
 
-TEST(configuration_file, of_the_demo_is_read_whole)
+TEST(configuration_file, of_the_demo_is_read_completely)
 {
     faults found;
     const auto it = configuration::parse(read_source_file("examples/demo/site.json"), found);
@@ -38,7 +38,7 @@
     EXPECT_EQ(it->find_runner_on(node_id{"n2"})->address.str(), "127.0.0.1:18102");
 }
 
-TEST(configuration_file, with_many_faults_has_each_named)
+TEST(configuration_file, with_many_faults_has_each_reported)
 {
     const auto found = faults_of(R"({
         "based_on": -1,
@@ -50,38 +50,38 @@
         "runners": [{"id": "r", "node": "n", "address": "host.example:80"}],
         "replica_groups": [{"id": "p", "model": "m", "version": "1", "failure_domain": "a", "size": 3, "count": 1}]
     })");
-    EXPECT_TRUE(names(found, "/based_on"));
-    EXPECT_TRUE(names(found, "/color"));
-    EXPECT_TRUE(names(found, "/fabric_domains/0/failure_domain"));
-    EXPECT_TRUE(names(found, "/nodes/1/id"));
-    EXPECT_TRUE(names(found, "/nodes/1/fabric_domain"));
-    EXPECT_TRUE(names(found, "/runners/0/address"));
-    EXPECT_TRUE(names(found, "/replica_groups/0/size"));
-    EXPECT_TRUE(names(found, "/replica_groups/0/model"));
+    EXPECT_TRUE(has_fault_at(found, "/based_on"));
+    EXPECT_TRUE(has_fault_at(found, "/color"));
+    EXPECT_TRUE(has_fault_at(found, "/fabric_domains/0/failure_domain"));
+    EXPECT_TRUE(has_fault_at(found, "/nodes/1/id"));
+    EXPECT_TRUE(has_fault_at(found, "/nodes/1/fabric_domain"));
+    EXPECT_TRUE(has_fault_at(found, "/runners/0/address"));
+    EXPECT_TRUE(has_fault_at(found, "/replica_groups/0/size"));
+    EXPECT_TRUE(has_fault_at(found, "/replica_groups/0/model"));
 }
 
-TEST(configuration_file, that_is_not_json_is_refused)
+TEST(configuration_file, that_is_not_json_is_rejected)
 {
     EXPECT_FALSE(faults_of("{\"based_on\": 0, ").empty());
     EXPECT_FALSE(faults_of("[]").empty());
     EXPECT_FALSE(faults_of("{\"change_id\": \"\xff\"}").empty());
 }
 
-TEST(configuration_file, with_a_key_twice_is_refused)
+TEST(configuration_file, with_a_duplicate_key_is_rejected)
 {
     const auto found = faults_of(R"({"based_on": 0, "based_on": 1, "change_id": "x"})");
     ASSERT_EQ(found.size(), 1U);
     EXPECT_NE(found.front().text.find("stands twice"), std::string::npos);
 }
 
-TEST(configuration_file, nested_too_deep_is_refused)
+TEST(configuration_file, nested_too_deeply_is_rejected)
 {
     std::string text = R"({"based_on": )";
     text += std::string(100'000, '[') + std::string(100'000, ']') + "}";
     EXPECT_NE(faults_of(text).front().text.find("levels"), std::string::npos);
 }
 
-TEST(settings_file, of_the_demo_is_read_whole)
+TEST(settings_file, of_the_demo_is_read_completely)
 {
     faults found;
     const auto it = settings::parse(read_source_file("examples/demo/settings.json"), found);
@@ -89,7 +89,7 @@
     EXPECT_EQ(it->callers.port, 18080);
 }
 
-TEST(settings_file, that_contradicts_itself_is_refused)
+TEST(settings_file, with_conflicting_values_is_rejected)
 {
     faults found;
     EXPECT_FALSE(settings::parse(R"({
@@ -97,9 +97,9 @@
         "daemons": "127.0.0.1:2", "limits": {"max_body_bytes": 1}
     })",
                                  found));
-    EXPECT_TRUE(names(found, "/operators"));
-    EXPECT_TRUE(names(found, "/peers"));
-    EXPECT_TRUE(names(found, "/limits/max_body_bytes"));
+    EXPECT_TRUE(has_fault_at(found, "/operators"));
+    EXPECT_TRUE(has_fault_at(found, "/peers"));
+    EXPECT_TRUE(has_fault_at(found, "/limits/max_body_bytes"));
 }
 
 } // namespace
