--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -21,8 +21,8 @@
 using json = nlohmann::json;
 
 // Intervals between two polls of a daemon.
-constexpr unsigned long apply_poll_ms = 100;  ///< while waiting for a revision to be in force
-constexpr unsigned long watch_poll_ms = 1000; ///< while showing the status
+constexpr unsigned long apply_poll_ms = 100;   ///< while waiting for a revision to be in force
+constexpr unsigned long top_refresh_ms = 1000; ///< while showing the status
 
 constexpr int json_indent = 2;
 constexpr const char* clear_screen = "\x1b[H\x1b[2J"; ///< ANSI: cursor home, erase all
@@ -33,11 +33,11 @@
     return to_int(exit_code::unreachable);
 }
 
-int report_refused(const std::string& file, const operator_answer& it)
+int report_refused(const std::string& subject, const operator_response& it)
 {
     if (it.body.is_object() && it.body.contains("faults")) {
-        for (const auto& one : it.body["faults"]) {
-            fmt::print(stderr, "{}: {}: {}\n", file, one.value("path", ""), one.value("text", ""));
+        for (const auto& e : it.body["faults"]) {
+            fmt::print(stderr, "{}: {}: {}\n", subject, e.value("path", ""), e.value("text", ""));
         }
     }
     else {
@@ -90,11 +90,11 @@
 int wait_until_in_force(std::vector<endpoint> daemons, std::uint64_t revision, int wait_seconds)
 {
     using clock = std::chrono::steady_clock;
-    const auto until = clock::now() + std::chrono::seconds{wait_seconds};
+    const auto deadline = clock::now() + std::chrono::seconds{wait_seconds};
     while (!daemons.empty()) {
         std::erase_if(daemons,
                       [&](const endpoint& it) { return revision_at(it).value_or(0) >= revision; });
-        if (daemons.empty() || clock::now() >= until) {
+        if (daemons.empty() || clock::now() >= deadline) {
             break;
         }
         QThread::msleep(apply_poll_ms);
@@ -112,30 +112,30 @@
 
 int run_check(const std::string& file)
 {
-    const auto text = read_named_file(file);
+    const auto text = read_input_file(file);
     if (!text) {
         return to_int(exit_code::bad_file);
     }
     faults found;
     const auto kind = kind_of(*text);
-    const bool fine = is_valid(kind, *text, found);
+    const bool valid = is_valid(kind, *text, found);
     print_faults(file, found);
-    if (fine) {
+    if (valid) {
         fmt::print("{}: valid {}\n", file,
                    kind == file_kind::declarative ? "declarative file" : "settings");
     }
-    return to_int(fine ? exit_code::done : exit_code::bad_file);
+    return to_int(valid ? exit_code::done : exit_code::bad_file);
 }
 
 int run_apply(const endpoint& daemon, const std::string& file, int wait_seconds,
-              const std::vector<std::string>& others)
+              const std::vector<std::string>& other_daemons)
 {
-    const auto text = read_named_file(file);
+    const auto text = read_input_file(file);
     if (!text) {
         return to_int(exit_code::bad_file);
     }
     std::vector<endpoint> daemons{daemon};
-    for (const auto& name : others) {
+    for (const auto& name : other_daemons) {
         const auto it = endpoint::parse(name);
         if (!it) {
             fmt::print(stderr, "--also {}: must be ip:port\n", name);
@@ -159,7 +159,7 @@
 
 int run_plan(const endpoint& daemon, const std::string& file)
 {
-    const auto text = read_named_file(file);
+    const auto text = read_input_file(file);
     if (!text) {
         return to_int(exit_code::bad_file);
     }
@@ -195,7 +195,7 @@
     return to_int(exit_code::done);
 }
 
-int run_watch(const endpoint& daemon, int rounds)
+int run_top(const endpoint& daemon, int rounds)
 {
     for (int n = 0; rounds == 0 || n < rounds; ++n) {
         reason why;
@@ -205,24 +205,24 @@
         }
         fmt::print("{}{}", clear_screen, format_status(it->body));
         std::fflush(stdout);
-        QThread::msleep(watch_poll_ms);
+        QThread::msleep(top_refresh_ms);
     }
     return to_int(exit_code::done);
 }
 
-int run_drain(const endpoint& daemon, const drain_request& what)
+int run_drain(const endpoint& daemon, const drain_request& request)
 {
     reason why;
-    const json body{{"kind", what.kind}, {"id", what.id}, {"draining", what.draining}};
+    const json body{{"kind", request.kind}, {"id", request.id}, {"draining", request.draining}};
     const auto it = operator_client{daemon}.post("/v1/drain", body.dump(), why);
     if (!it) {
         return report_unreachable(why);
     }
     if (it->status != http_status::ok) {
-        return report_refused(what.id, *it);
+        return report_refused(request.id, *it);
     }
-    fmt::print("{} {} is {}\n", what.kind, what.id,
-               what.draining ? "draining" : "no longer draining");
+    fmt::print("{} {} is {}\n", request.kind, request.id,
+               request.draining ? "draining" : "no longer draining");
     return to_int(exit_code::done);
 }
 
@@ -247,10 +247,10 @@
     if (it->status != http_status::ok) {
         return report_refused(request, *it);
     }
-    for (const auto& one : it->body["decisions"]) {
+    for (const auto& e : it->body["decisions"]) {
         fmt::print("{} {:<7} chosen={} reason=\"{}\" candidates=[{}]\n",
-                   one.value("wall_ms", std::uint64_t{0}), one.value("step", ""),
-                   one.value("chosen", ""), one.value("reason", ""), one.value("candidates", ""));
+                   e.value("wall_ms", std::uint64_t{0}), e.value("step", ""), e.value("chosen", ""),
+                   e.value("reason", ""), e.value("candidates", ""));
     }
     return to_int(exit_code::done);
 }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -18,15 +18,15 @@
 // process's exit code (exit_code.h).
 
 int run_check(const std::string& file);
-/// Waits at most `wait_seconds` (0: does not wait) until `daemon` and `others`, each "ip:port",
-/// have the new revision in force.
+/// Waits at most `wait_seconds` (0: does not wait) until `daemon` and `other_daemons`, each
+/// "ip:port", have the new revision in force.
 int run_apply(const endpoint& daemon, const std::string& file, int wait_seconds,
-              const std::vector<std::string>& others);
+              const std::vector<std::string>& other_daemons);
 int run_plan(const endpoint& daemon, const std::string& file);
 int run_status(const endpoint& daemon, bool as_json);
 /// Prints the status once a second, `rounds` times; 0: until the process is terminated.
-int run_watch(const endpoint& daemon, int rounds);
-int run_drain(const endpoint& daemon, const drain_request& what);
+int run_top(const endpoint& daemon, int rounds);
+int run_drain(const endpoint& daemon, const drain_request& request);
 int run_stop(const endpoint& daemon);
 int run_explain(const endpoint& daemon, const std::string& request);
 /// Runs a control or entry daemon until it is stopped.
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -28,18 +28,18 @@
 int run_fleet(int& argc, char** argv, const std::string& settings_file)
 {
     process_signals signals;
-    auto own = read_settings<fleet_settings>(settings_file);
-    if (!own) {
+    auto daemon_settings = read_settings<fleet_settings>(settings_file);
+    if (!daemon_settings) {
         return to_int(exit_code::bad_file);
     }
-    log_line::use_json(own->json_logs);
+    log_line::use_json(daemon_settings->json_logs);
     choose_event_loop();
     QCoreApplication app{argc, argv};
     reason why;
     std::unique_ptr<control_daemon> control;
     std::unique_ptr<entry_daemon> entry;
-    if (own->role == fleet_role::control) {
-        control = start_daemon<control_daemon>(*own, why);
+    if (daemon_settings->role == fleet_role::control) {
+        control = start_daemon<control_daemon>(*daemon_settings, why);
         if (control == nullptr) {
             return report_failed_start(why);
         }
@@ -47,7 +47,7 @@
         signals.on_stop = [&] { control->stop(); };
     }
     else {
-        entry = start_daemon<entry_daemon>(*own, why);
+        entry = start_daemon<entry_daemon>(*daemon_settings, why);
         if (entry == nullptr) {
             return report_failed_start(why);
         }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -23,7 +23,7 @@
     std::string daemon = default_daemon;
     std::string id;
     std::string kind;
-    std::vector<std::string> also;
+    std::vector<std::string> other_daemons;
     int wait_seconds = 0;
     int rounds = 0;
     bool json = false;
@@ -36,10 +36,10 @@
         app_.require_subcommand(1);
         app_.footer("Exit codes: 0 done, 1 usage, 2 bad file, 3 refused, 4 no answer, 5 disk "
                     "failed, 6 not in force everywhere in time");
-        add_serve();
-        add_files();
-        add_views();
-        add_drains();
+        add_daemon_commands();
+        add_file_commands();
+        add_operator_commands();
+        add_drain_commands();
     }
 
     int run()
@@ -54,7 +54,7 @@
     }
 
 private:
-    CLI::App* add(const char* name, const char* help, std::function<int()> run)
+    CLI::App* add_command(const char* name, const char* help, std::function<int()> run)
     {
         auto* out = app_.add_subcommand(name, help);
         out->callback([this, run = std::move(run)] { selected_command_ = run; });
@@ -62,97 +62,103 @@
     }
 
     /// A subcommand that calls a daemon.
-    CLI::App* add_call(const char* name, const char* help, std::function<int(const endpoint&)> run)
+    CLI::App* add_daemon_call(const char* name, const char* help,
+                              std::function<int(const endpoint&)> run)
     {
-        auto* out = add(name, help, [this, run = std::move(run)] {
-            const auto to = endpoint::parse(in_.daemon);
-            if (!to) {
-                fmt::print(stderr, "--daemon {}: must be ip:port\n", in_.daemon);
+        auto* out = add_command(name, help, [this, run = std::move(run)] {
+            const auto daemon = endpoint::parse(args_.daemon);
+            if (!daemon) {
+                fmt::print(stderr, "--daemon {}: must be ip:port\n", args_.daemon);
                 return to_int(exit_code::usage);
             }
             QCoreApplication app{argc_, argv_};
-            return run(*to);
+            return run(*daemon);
         });
-        out->add_option("--daemon", in_.daemon, "operator listener of a daemon, ip:port")
+        out->add_option("--daemon", args_.daemon, "operator listener of a daemon, ip:port")
             ->envname("CEDARPOINT_DAEMON")
             ->capture_default_str();
         return out;
     }
 
-    void add_serve()
+    void add_daemon_commands()
     {
-        auto* it = add("serve", "Run a daemon with a fixed list of peers",
-                       [this] { return run_serve(argc_, argv_, in_.file); });
-        it->add_option("--settings", in_.file, "the daemon's settings, JSON with comments")
+        auto* it = add_command("serve", "Run a daemon with a fixed list of peers",
+                               [this] { return run_serve(argc_, argv_, args_.file); });
+        it->add_option("--settings", args_.file, "the daemon's settings, JSON with comments")
             ->required();
-        auto* fleet =
-            add("fleet", "Run a control or entry daemon of a fleet; discovers its peers from seeds",
-                [this] { return run_fleet(argc_, argv_, in_.file); });
-        fleet->add_option("--settings", in_.file, "the daemon's settings, JSON with comments")
+        auto* fleet = add_command(
+            "fleet", "Run a control or entry daemon of a fleet; discovers its peers from seeds",
+            [this] { return run_fleet(argc_, argv_, args_.file); });
+        fleet->add_option("--settings", args_.file, "the daemon's settings, JSON with comments")
             ->required();
-        add("version", "Print the version", [] {
+        add_command("version", "Print the version", [] {
             fmt::print("{}\n", version_text);
             return to_int(exit_code::done);
         });
     }
 
-    void add_files()
+    void add_file_commands()
     {
-        auto* check = add("check", "Validate a settings or declarative file offline",
-                          [this] { return run_check(in_.file); });
-        check->add_option("file", in_.file, "the file")->required();
-        auto* apply =
-            add_call("apply", "Apply a declarative file atomically", [this](const endpoint& to) {
-                return run_apply(to, in_.file, in_.wait_seconds, in_.also);
+        auto* check = add_command("check", "Validate a settings or declarative file offline",
+                                  [this] { return run_check(args_.file); });
+        check->add_option("file", args_.file, "the file")->required();
+        auto* apply = add_daemon_call(
+            "apply", "Apply a declarative file atomically", [this](const endpoint& daemon) {
+                return run_apply(daemon, args_.file, args_.wait_seconds, args_.other_daemons);
             });
-        apply->add_option("file", in_.file, "the file")->required();
+        apply->add_option("file", args_.file, "the file")->required();
         apply
-            ->add_option("--wait", in_.wait_seconds,
+            ->add_option("--wait", args_.wait_seconds,
                          "wait up to this many seconds until the revision is in force")
             ->check(CLI::Range(0, max_apply_wait_s));
-        apply->add_option("--also", in_.also, "further daemons for --wait to poll, ip:port");
-        auto* plan = add_call("plan", "Show what a declarative file would change (dry run)",
-                              [this](const endpoint& to) { return run_plan(to, in_.file); });
-        plan->add_option("file", in_.file, "the file")->required();
+        apply->add_option("--also", args_.other_daemons,
+                          "further daemons for --wait to poll, ip:port");
+        auto* plan = add_daemon_call(
+            "plan", "Show what a declarative file would change (dry run)",
+            [this](const endpoint& daemon) { return run_plan(daemon, args_.file); });
+        plan->add_option("file", args_.file, "the file")->required();
     }
 
-    void add_views()
+    void add_operator_commands()
     {
-        auto* status = add_call("status", "Show groups, nodes, leases and the revision in force",
-                                [this](const endpoint& to) { return run_status(to, in_.json); });
-        status->add_flag("--json", in_.json, "as JSON");
-        auto* top = add_call("top", "Show the status and refresh it every second",
-                             [this](const endpoint& to) { return run_watch(to, in_.rounds); });
-        top->add_option("--rounds", in_.rounds, "refreshes before it exits; 0: no limit")
+        auto* status = add_daemon_call(
+            "status", "Show groups, nodes, leases and the revision in force",
+            [this](const endpoint& daemon) { return run_status(daemon, args_.json); });
+        status->add_flag("--json", args_.json, "as JSON");
+        auto* top = add_daemon_call(
+            "top", "Show the status and refresh it every second",
+            [this](const endpoint& daemon) { return run_top(daemon, args_.rounds); });
+        top->add_option("--rounds", args_.rounds, "refreshes before it exits; 0: no limit")
             ->check(CLI::NonNegativeNumber);
-        auto* explain = add_call("explain", "Show the routing decisions for one request",
-                                 [this](const endpoint& to) { return run_explain(to, in_.id); });
-        explain->add_option("request", in_.id, "the id from the Cedarpoint-Request-Id header")
+        auto* explain = add_daemon_call(
+            "explain", "Show the routing decisions for one request",
+            [this](const endpoint& daemon) { return run_explain(daemon, args_.id); });
+        explain->add_option("request", args_.id, "the id from the Cedarpoint-Request-Id header")
             ->required();
-        add_call("stop", "Stop a daemon gracefully: requests in flight finish first",
-                 [](const endpoint& to) { return run_stop(to); });
+        add_daemon_call("stop", "Stop a daemon gracefully: requests in flight finish first",
+                        [](const endpoint& daemon) { return run_stop(daemon); });
     }
 
-    void add_drains()
+    void add_drain_commands()
     {
         for (const bool draining : {true, false}) {
-            auto* it = add_call(draining ? "drain" : "undrain",
-                                draining ? "Drain a node, group or runner: no new requests"
-                                         : "Undo a drain",
-                                [this, draining](const endpoint& to) {
-                                    return run_drain(to, {in_.kind, in_.id, draining});
-                                });
-            it->add_option("kind", in_.kind, "node, group or runner")
+            auto* it = add_daemon_call(
+                draining ? "drain" : "undrain",
+                draining ? "Drain a node, group or runner: no new requests" : "Undo a drain",
+                [this, draining](const endpoint& daemon) {
+                    return run_drain(daemon, {args_.kind, args_.id, draining});
+                });
+            it->add_option("kind", args_.kind, "node, group or runner")
                 ->required()
                 ->check(CLI::IsMember({"node", "group", "runner"}));
-            it->add_option("id", in_.id, "its id")->required();
+            it->add_option("id", args_.id, "its id")->required();
         }
     }
 
     int& argc_;
     char** argv_;
     CLI::App app_{"Cedarpoint: serves models whose replicas span several nodes"};
-    arguments in_;
+    arguments args_;
     std::function<int()> selected_command_;
 };
 
--- a/src/cli/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -13,19 +13,19 @@
 
 } // namespace
 
-std::optional<operator_answer> operator_client::get(const std::string& path, reason& why) const
+std::optional<operator_response> operator_client::get(const std::string& path, reason& why) const
 {
     return call("GET", path, {}, why);
 }
 
-std::optional<operator_answer> operator_client::post(const std::string& path,
-                                                     const std::string& body, reason& why) const
+std::optional<operator_response> operator_client::post(const std::string& path,
+                                                       const std::string& body, reason& why) const
 {
     return call("POST", path, body, why);
 }
 
-std::optional<operator_answer> operator_client::call(const char* method, const std::string& path,
-                                                     const std::string& body, reason& why) const
+std::optional<operator_response> operator_client::call(const char* method, const std::string& path,
+                                                       const std::string& body, reason& why) const
 {
     QNetworkAccessManager manager;
     QNetworkRequest request{QUrl{QString::fromStdString("http://" + daemon_.str() + path)}};
@@ -51,7 +51,7 @@
     if (parsed.is_discarded()) {
         parsed = text;
     }
-    return operator_answer{status, std::move(parsed)};
+    return operator_response{status, std::move(parsed)};
 }
 
 } // namespace cedarpoint
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -11,7 +11,7 @@
 namespace cedarpoint {
 
 /// A daemon's response to an operator's call.
-struct operator_answer {
+struct operator_response {
     int status = 0;      ///< HTTP status code
     nlohmann::json body; ///< a string if it is not JSON
 };
@@ -25,13 +25,13 @@
 
     /// Returns nothing if no response arrived; `why` then gives the reason. A response with an
     /// error status is returned.
-    std::optional<operator_answer> get(const std::string& path, reason& why) const;
-    std::optional<operator_answer> post(const std::string& path, const std::string& body,
-                                        reason& why) const;
+    std::optional<operator_response> get(const std::string& path, reason& why) const;
+    std::optional<operator_response> post(const std::string& path, const std::string& body,
+                                          reason& why) const;
 
 private:
-    std::optional<operator_answer> call(const char* method, const std::string& path,
-                                        const std::string& body, reason& why) const;
+    std::optional<operator_response> call(const char* method, const std::string& path,
+                                          const std::string& body, reason& why) const;
 
     endpoint daemon_;
 };
--- a/src/cli/process_signals.cpp
+++ b/src/cli/process_signals.cpp
@@ -10,8 +10,8 @@
 {
     sigset_t set;
     sigemptyset(&set);
-    for (const int each : {SIGTERM, SIGINT, SIGHUP}) {
-        sigaddset(&set, each);
+    for (const int signal_number : {SIGTERM, SIGINT, SIGHUP}) {
+        sigaddset(&set, signal_number);
     }
     sigprocmask(SIG_BLOCK, &set, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -22,15 +22,15 @@
 int run_serve(int& argc, char** argv, const std::string& settings_file)
 {
     process_signals signals;
-    auto own = read_settings<settings>(settings_file);
-    if (!own) {
+    auto daemon_settings = read_settings<settings>(settings_file);
+    if (!daemon_settings) {
         return to_int(exit_code::bad_file);
     }
-    log_line::use_json(own->json_logs);
+    log_line::use_json(daemon_settings->json_logs);
     choose_event_loop();
     QCoreApplication app{argc, argv};
     reason why;
-    const auto it = start_daemon<daemon>(*own, why);
+    const auto it = start_daemon<daemon>(*daemon_settings, why);
     if (it == nullptr) {
         return report_failed_start(why);
     }
--- a/src/cli/settings_file.cpp
+++ b/src/cli/settings_file.cpp
@@ -6,7 +6,7 @@
 
 namespace cedarpoint {
 
-std::optional<std::string> read_named_file(const std::string& path)
+std::optional<std::string> read_input_file(const std::string& path)
 {
     posix_file_system files;
     reason why;
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -9,7 +9,7 @@
 
 /// Returns the content of a file. If it can't be read, prints the reason on standard error and
 /// returns nothing.
-std::optional<std::string> read_named_file(const std::string& path);
+std::optional<std::string> read_input_file(const std::string& path);
 
 /// Prints each fault as a line on standard error: file, JSON pointer, text.
 void print_faults(const std::string& file, const faults& all);
@@ -19,7 +19,7 @@
 template <class Settings>
 std::optional<Settings> read_settings(const std::string& file)
 {
-    const auto text = read_named_file(file);
+    const auto text = read_input_file(file);
     if (!text) {
         return {};
     }
