--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -33,6 +33,7 @@
     return to_int(exit_code::unreachable);
 }
 
+/// Prints why a daemon refused a call. A 503 status counts as no answer: the outcome is unknown.
 int report_refused(const std::string& subject, const operator_response& it)
 {
     if (it.body.is_object() && it.body.contains("faults")) {
@@ -47,10 +48,10 @@
                                                                 : exit_code::refused);
 }
 
-/// The kinds of file that `check` supports.
+/// The file formats that `check` supports.
 enum class file_kind { settings, fleet_settings, declarative };
 
-/// Returns the kind of a file by its keys: settings of a fleet have `role` and `seeds`, other
+/// Detects the kind of a file from its keys: settings of a fleet have `role` and `seeds`, other
 /// settings have `callers`.
 file_kind kind_of(const std::string& text)
 {
@@ -63,7 +64,7 @@
     return is_object && value->contains("callers") ? file_kind::settings : file_kind::declarative;
 }
 
-/// Returns whether `text` is a valid file of kind `kind`; lists every fault in `out`.
+/// Returns whether `text` is a valid file of this kind; appends every fault to `out`.
 bool is_valid(file_kind kind, const std::string& text, faults& out)
 {
     switch (kind) {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Returns the revision in force at a daemon; nothing if the call fails.
+/// Returns the revision in force on a daemon; nothing if the call fails.
 std::optional<std::uint64_t> revision_at(const endpoint& daemon)
 {
     reason why;
@@ -100,10 +101,10 @@
         QThread::msleep(apply_poll_ms);
     }
     for (const auto& it : daemons) {
-        fmt::print(stderr, "not confirmed in force at {}\n", it.str());
+        fmt::print(stderr, "not confirmed in force on {}\n", it.str());
     }
     if (daemons.empty()) {
-        fmt::print("revision {} is in force everywhere\n", revision);
+        fmt::print("revision {} is in force on all polled daemons\n", revision);
     }
     return to_int(daemons.empty() ? exit_code::done : exit_code::not_confirmed);
 }
@@ -174,10 +175,10 @@
     for (const auto& line : it->body["changes"]) {
         fmt::print("{} {}\n", line.value("kind", ""), line.value("what", ""));
     }
-    fmt::print("{} changes to revision {}\n", it->body["changes"].size(),
+    fmt::print("{} changes relative to revision {}\n", it->body["changes"].size(),
                it->body.value("in_force", 0));
     if (it->body.value("would_conflict", false)) {
-        fmt::print("the file is based on revision {}: applying it would be refused\n",
+        fmt::print("the file is based on revision {}: applying it would be refused as a conflict\n",
                    it->body.value("based_on", 0));
         return to_int(exit_code::refused);
     }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -24,7 +24,8 @@
               const std::vector<std::string>& other_daemons);
 int run_plan(const endpoint& daemon, const std::string& file);
 int run_status(const endpoint& daemon, bool as_json);
-/// Prints the status once a second, `rounds` times; 0: until the process is terminated.
+/// Shows the status and refreshes it every second, `rounds` times (0: until the process is
+/// terminated). Ends early if the daemon does not answer.
 int run_top(const endpoint& daemon, int rounds);
 int run_drain(const endpoint& daemon, const drain_request& request);
 int run_stop(const endpoint& daemon);
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -18,7 +18,7 @@
 void log_reload(const std::string& file)
 {
     // The file is only validated: its settings apply at the next start. A running daemon gets
-    // changes from its peers.
+    // changes of the configuration from its peers.
     const bool valid = read_settings<fleet_settings>(file).has_value();
     log_line("reload").with("file", file).with("valid", valid).with("applies", "at start").write();
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* version_text = "cedarpoint 0.1.0";
 constexpr const char* default_daemon = "127.0.0.1:9100";
-constexpr int max_apply_wait_s = 3600; ///< seconds
+constexpr int max_apply_wait_s = 3600;
 
 /// The options of all subcommands, filled by the parser.
 struct arguments {
@@ -34,8 +34,9 @@
     command_line(int& argc, char** argv) : argc_{argc}, argv_{argv}
     {
         app_.require_subcommand(1);
-        app_.footer("Exit codes: 0 done, 1 usage, 2 bad file, 3 refused, 4 no answer, 5 disk "
-                    "failed, 6 not in force everywhere in time");
+        app_.footer(
+            "Exit codes: 0 success, 1 usage error, 2 invalid file or daemon not started, "
+            "3 refused, 4 no answer, 5 disk write failed, 6 not confirmed in force in time");
         add_daemon_commands();
         add_file_commands();
         add_operator_commands();
@@ -61,7 +62,7 @@
         return out;
     }
 
-    /// A subcommand that calls a daemon.
+    /// Adds a subcommand that calls the operator listener of a daemon.
     CLI::App* add_daemon_call(const char* name, const char* help,
                               std::function<int(const endpoint&)> run)
     {
@@ -84,12 +85,14 @@
     {
         auto* it = add_command("serve", "Run a daemon with a fixed list of peers",
                                [this] { return run_serve(argc_, argv_, args_.file); });
-        it->add_option("--settings", args_.file, "the daemon's settings, JSON with comments")
+        it->add_option("--settings", args_.file, "settings file of the daemon, JSON with comments")
             ->required();
         auto* fleet = add_command(
             "fleet", "Run a control or entry daemon of a fleet; discovers its peers from seeds",
             [this] { return run_fleet(argc_, argv_, args_.file); });
-        fleet->add_option("--settings", args_.file, "the daemon's settings, JSON with comments")
+        fleet
+            ->add_option("--settings", args_.file,
+                         "settings file of the daemon, JSON with comments")
             ->required();
         add_command("version", "Print the version", [] {
             fmt::print("{}\n", version_text);
@@ -101,22 +104,22 @@
     {
         auto* check = add_command("check", "Validate a settings or declarative file offline",
                                   [this] { return run_check(args_.file); });
-        check->add_option("file", args_.file, "the file")->required();
+        check->add_option("file", args_.file, "settings or declarative file")->required();
         auto* apply = add_daemon_call(
             "apply", "Apply a declarative file atomically", [this](const endpoint& daemon) {
                 return run_apply(daemon, args_.file, args_.wait_seconds, args_.other_daemons);
             });
-        apply->add_option("file", args_.file, "the file")->required();
+        apply->add_option("file", args_.file, "declarative file")->required();
         apply
             ->add_option("--wait", args_.wait_seconds,
                          "wait up to this many seconds until the revision is in force")
             ->check(CLI::Range(0, max_apply_wait_s));
         apply->add_option("--also", args_.other_daemons,
-                          "further daemons for --wait to poll, ip:port");
+                          "other daemons that --wait polls as well, ip:port");
         auto* plan = add_daemon_call(
             "plan", "Show what a declarative file would change (dry run)",
             [this](const endpoint& daemon) { return run_plan(daemon, args_.file); });
-        plan->add_option("file", args_.file, "the file")->required();
+        plan->add_option("file", args_.file, "declarative file")->required();
     }
 
     void add_operator_commands()
@@ -124,11 +127,12 @@
         auto* status = add_daemon_call(
             "status", "Show groups, nodes, leases and the revision in force",
             [this](const endpoint& daemon) { return run_status(daemon, args_.json); });
-        status->add_flag("--json", args_.json, "as JSON");
+        status->add_flag("--json", args_.json, "print the status as JSON");
         auto* top = add_daemon_call(
             "top", "Show the status and refresh it every second",
             [this](const endpoint& daemon) { return run_top(daemon, args_.rounds); });
-        top->add_option("--rounds", args_.rounds, "refreshes before it exits; 0: no limit")
+        top->add_option("--rounds", args_.rounds,
+                        "number of refreshes before it exits; 0: no limit")
             ->check(CLI::NonNegativeNumber);
         auto* explain = add_daemon_call(
             "explain", "Show the routing decisions for one request",
@@ -142,22 +146,23 @@
     void add_drain_commands()
     {
         for (const bool draining : {true, false}) {
-            auto* it = add_daemon_call(
-                draining ? "drain" : "undrain",
-                draining ? "Drain a node, group or runner: no new requests" : "Undo a drain",
-                [this, draining](const endpoint& daemon) {
-                    return run_drain(daemon, {args_.kind, args_.id, draining});
-                });
+            auto* it =
+                add_daemon_call(draining ? "drain" : "undrain",
+                                draining ? "Drain a node, group or runner: no new requests"
+                                         : "Undo a drain: new requests are accepted again",
+                                [this, draining](const endpoint& daemon) {
+                                    return run_drain(daemon, {args_.kind, args_.id, draining});
+                                });
             it->add_option("kind", args_.kind, "node, group or runner")
                 ->required()
                 ->check(CLI::IsMember({"node", "group", "runner"}));
-            it->add_option("id", args_.id, "its id")->required();
+            it->add_option("id", args_.id, "id of the node, group or runner")->required();
         }
     }
 
     int& argc_;
     char** argv_;
-    CLI::App app_{"Cedarpoint: serves models whose replicas span several nodes"};
+    CLI::App app_{"Cedarpoint: routing and control for models whose replicas span several nodes"};
     arguments args_;
     std::function<int()> selected_command_;
 };
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -10,14 +10,14 @@
 
 namespace cedarpoint {
 
-/// A daemon's response to an operator's call.
+/// A daemon's HTTP response to an operator's call.
 struct operator_response {
     int status = 0;      ///< HTTP status code
     nlohmann::json body; ///< a string if it is not JSON
 };
 
-/// Blocking HTTP client for a daemon's operator listener. Owns only the address. Needs an
-/// application object. Every call must be idempotent, since Qt may send one twice. Authorizes calls
+/// Blocking HTTP client for a daemon's operator listener. Owns only the address. Needs a
+/// QCoreApplication. Every call must be idempotent, since Qt may send one twice. Authorizes calls
 /// with the key in the environment variable CEDARPOINT_OPERATOR_KEY, if set.
 class operator_client {
 public:
--- a/src/cli/process_signals.h
+++ b/src/cli/process_signals.h
@@ -7,7 +7,7 @@
 
 namespace cedarpoint {
 
-/// Delivers signals of this process as events of the Qt event loop. Owns the signalfd and its
+/// Delivers the signals of this process as events of the Qt event loop. Owns the signalfd and its
 /// notifier. Construct it before any thread starts: the signals are blocked for threads started
 /// later.
 class process_signals {
@@ -16,7 +16,7 @@
 
     std::function<void()> on_stop;   ///< SIGTERM, SIGINT
     std::function<void()> on_reload; ///< SIGHUP
-    /// Starts delivering signals; needs an application object. Set the handlers first: without
+    /// Starts delivering signals; needs a QCoreApplication. Set the handlers first: without
     /// `on_reload`, SIGHUP terminates the process.
     void attach();
 
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -14,7 +14,8 @@
 namespace cedarpoint {
 namespace {
 
-/// Requests in flight from which the event loop is paced; pacing does not help below that.
+/// Number of requests in flight from which the event loop is paced; with fewer, pacing has no
+/// benefit.
 constexpr std::size_t busy_requests = 64;
 
 } // namespace
--- a/src/cli/settings_file.h
+++ b/src/cli/settings_file.h
@@ -14,8 +14,8 @@
 /// Prints each fault as a line on standard error: file, JSON pointer, text.
 void print_faults(const std::string& file, const faults& all);
 
-/// Reads a settings file of either kind. Returns nothing if it is invalid, with every fault on
-/// standard error.
+/// Reads a settings file. Returns nothing if it can't be read or is invalid, and prints the reason
+/// or every fault on standard error.
 template <class Settings>
 std::optional<Settings> read_settings(const std::string& file)
 {
