--- a/src/cli/status_view.cpp
+++ b/src/cli/status_view.cpp
@@ -9,7 +9,7 @@
 
 using json = nlohmann::json;
 
-/// Formats a row of the table of groups: failure domain, group, state, epoch, nodes.
+/// Format string of a row in the table of groups: failure domain, group, state, epoch, nodes.
 constexpr std::string_view group_row = "{:<14} {:<20} {:<9} {:>6}  {}\n";
 
 std::string format_log(const char* name, const json& log)
