--- a/tests/platform/platform_adapter_test.cpp
+++ b/tests/platform/platform_adapter_test.cpp
@@ -29,15 +29,15 @@
         "tenants":[{"name":"till","apiKeys":["k1","k2"],"priority":1}]})");
 }
 
-std::optional<fleet_configuration> read(const json& document)
+std::optional<fleet_configuration> read_document(const json& document)
 {
     reason why;
     return installed_platform().read_configuration(document.dump(), why);
 }
 
-TEST(a_document, is_read_into_the_products_platform)
+TEST(a_document, is_converted_to_the_products_types)
 {
-    const auto out = read(valid_document());
+    const auto out = read_document(valid_document());
     ASSERT_TRUE(out.has_value());
     EXPECT_EQ(out->version, 7U);
     ASSERT_EQ(out->routes.size(), 2U);
@@ -57,41 +57,43 @@
     EXPECT_EQ(out->accounts.front().keys.size(), 2U);
 }
 
-TEST(a_document, is_refused_as_a_whole_for_each_fault)
+TEST(a_document, is_rejected_as_a_whole_for_each_fault)
 {
-    const std::vector<std::pair<std::string, std::function<void(json&)>>> faults{
+    const std::vector<std::pair<std::string, std::function<void(json&)>>> invalid_changes{
         {"an unknown service", [](json& in) { in["routes"][1]["service"] = "nobody"; }},
-        {"two routes at one place", [](json& in) { in["routes"][1]["pathPrefix"] = "/a/"; }},
-        {"weights of 0",
+        {"two routes with the same host and prefix",
+         [](json& in) { in["routes"][1]["pathPrefix"] = "/a/"; }},
+        {"weights with a sum of 0",
          [](json& in) {
              in["routes"][0]["trafficSplit"][0]["weight"] = 0;
              in["routes"][0]["trafficSplit"][1]["weight"] = 0;
          }},
         {"a negative weight", [](json& in) { in["routes"][0]["trafficSplit"][0]["weight"] = -1; }},
-        {"no time", [](json& in) { in["routes"][1]["timeoutMs"] = 0; }},
-        {"a prefix without its slash", [](json& in) { in["routes"][1]["pathPrefix"] = "/b"; }},
+        {"a time-out of 0", [](json& in) { in["routes"][1]["timeoutMs"] = 0; }},
+        {"a prefix without a trailing slash",
+         [](json& in) { in["routes"][1]["pathPrefix"] = "/b"; }},
         {"no version", [](json& in) { in.erase("version"); }},
         {"a version of another type", [](json& in) { in["version"] = "seven"; }},
         {"no routes", [](json& in) { in.erase("routes"); }},
-        {"a shared key",
+        {"a key of two accounts",
          [](json& in) {
              in["tenants"].push_back({{"name", "other"}, {"apiKeys", {"k2"}}});
          }},
     };
-    for (const auto& [name, spoil] : faults) {
+    for (const auto& [name, invalidate] : invalid_changes) {
         auto document = valid_document();
-        spoil(document);
-        EXPECT_FALSE(read(document).has_value()) << name;
+        invalidate(document);
+        EXPECT_FALSE(read_document(document).has_value()) << name;
     }
     reason why;
-    const auto whole = valid_document().dump();
+    const auto text = valid_document().dump();
     EXPECT_FALSE(installed_platform()
-                     .read_configuration(std::string_view{whole}.substr(0, whole.size() / 2), why)
+                     .read_configuration(std::string_view{text}.substr(0, text.size() / 2), why)
                      .has_value());
     EXPECT_FALSE(why.text.empty());
 }
 
-TEST(a_heartbeat, tells_the_runner_and_its_group)
+TEST(a_heartbeat, describes_the_runner_and_its_group)
 {
     reason why;
     const auto out = installed_platform().read_announcement(
@@ -113,7 +115,7 @@
     EXPECT_EQ(out->membership->phase, member_phase::ready);
 }
 
-TEST(a_heartbeat, that_makes_no_sense_is_refused)
+TEST(a_heartbeat, that_is_invalid_is_rejected)
 {
     reason why;
     const auto& platform = installed_platform();
@@ -126,30 +128,30 @@
     }
 }
 
-// Guards against requests sent to an address from a heartbeat that no runner wrote. Such heartbeats
-// were accepted when required fields had defaults (a missing state was "ready", missing slots were
-// 1) and numbers of other types were truncated.
-TEST(a_heartbeat, of_another_writer_names_no_runner)
+// Guards against the registration of an address from a request that is not a runner's heartbeat.
+// Such bodies were accepted when required fields had defaults (a missing state was "ready", missing
+// slots were 1) and numbers of other types were truncated.
+TEST(a_heartbeat, with_an_invalid_field_registers_no_runner)
 {
-    const json whole{
+    const json valid_heartbeat{
         {"service", "s"}, {"address", "1.1.1.1:1"}, {"zone", "z"},          {"version", "v1"},
         {"slots", 2},     {"state", "ready"},       {"coldRemainingMs", 0}, {"sequence", 4}};
     reason why;
-    const auto is_taken = [&](const json& in) {
+    const auto is_accepted = [&](const json& in) {
         return installed_platform().read_announcement(runner_id{"i"}, in.dump(), why).has_value();
     };
-    ASSERT_TRUE(is_taken(whole)) << why.str();
-    for (const auto& [key, value] : whole.items()) {
-        auto without = whole;
+    ASSERT_TRUE(is_accepted(valid_heartbeat)) << why.str();
+    for (const auto& [key, value] : valid_heartbeat.items()) {
+        auto without = valid_heartbeat;
         without.erase(key);
-        EXPECT_FALSE(is_taken(without)) << "without " << key;
+        EXPECT_FALSE(is_accepted(without)) << "without " << key;
         for (const json& other : {json(nullptr), json(true), json::array(), json::object()}) {
-            auto wrong = whole;
+            auto wrong = valid_heartbeat;
             wrong[key] = other;
-            EXPECT_FALSE(is_taken(wrong)) << key << " " << other.dump();
+            EXPECT_FALSE(is_accepted(wrong)) << key << " " << other.dump();
         }
     }
-    const std::vector<std::pair<std::string, json>> odd{
+    const std::vector<std::pair<std::string, json>> invalid_values{
         {"state", "resting"},
         {"state", ""},
         {"slots", 0},
@@ -168,17 +170,17 @@
         {"group", "g"},
         {"group", {{"name", "g"}, {"epoch", 1}, {"state", "ready"}}},
         {"group", {{"name", "g"}, {"epoch", -1}, {"rank", 0}, {"state", "ready"}}}};
-    for (const auto& [key, value] : odd) {
-        auto wrong = whole;
+    for (const auto& [key, value] : invalid_values) {
+        auto wrong = valid_heartbeat;
         wrong[key] = value;
-        EXPECT_FALSE(is_taken(wrong)) << key << " " << value.dump();
+        EXPECT_FALSE(is_accepted(wrong)) << key << " " << value.dump();
     }
     for (const auto* text : {"", "[]", "4", "null", "{", "\xff\xfe", "{\"service\":"}) {
         EXPECT_FALSE(installed_platform().read_announcement(runner_id{"i"}, text, why)) << text;
     }
 }
 
-TEST(a_call, is_known_by_its_method_and_path)
+TEST(a_call, is_identified_by_its_method_and_path)
 {
     const auto& platform = installed_platform();
     EXPECT_EQ(platform.read_call("POST", "/cedarpoint/config/put").call,
@@ -205,7 +207,7 @@
     EXPECT_EQ(platform.read_call("POST", "/cedarpoint/instances/i-7").call, control_call::unknown);
 }
 
-TEST(an_order, carries_its_fence_and_names_its_group)
+TEST(an_order, contains_its_fencing_token_and_its_group)
 {
     group_order order;
     order.kind = order_kind::join;
