--- a/tools/stand_in/stand_in_runner.cpp
+++ b/tools/stand_in/stand_in_runner.cpp
@@ -10,7 +10,7 @@
 using json = nlohmann::json;
 
 constexpr std::size_t max_body_bytes = 64 << 20;
-/// Unsent bytes of a stream from which no further token is written.
+/// Size of a stream's unsent output at which the next token is delayed.
 constexpr std::size_t max_buffered_bytes = 1 << 20;
 
 http_head json_head(int status)
@@ -20,7 +20,7 @@
     return out;
 }
 
-std::uint64_t number_of(std::string_view text)
+std::uint64_t parse_number(std::string_view text)
 {
     std::uint64_t n = 0;
     std::from_chars(text.data(), text.data() + text.size(), n);
@@ -94,14 +94,14 @@
         reply.send(json_head(400), "{}");
         return;
     }
-    const auto asked = in.value("epoch", std::uint64_t{0});
+    const auto order_epoch = in.value("epoch", std::uint64_t{0});
     orders_.push_back(
-        fmt::format("{} {} {}", in.value("action", ""), in.value("group", ""), asked));
-    if (options_.checks_epoch && asked < epoch_) {
+        fmt::format("{} {} {}", in.value("action", ""), in.value("group", ""), order_epoch));
+    if (options_.checks_epoch && order_epoch < epoch_) {
         reply.send(json_head(409), json{{"epoch", epoch_}}.dump());
         return;
     }
-    epoch_ = asked;
+    epoch_ = order_epoch;
     group_ = in.value("group", "");
     if (in.value("action", "") == "load") {
         phase_ = "loading";
@@ -114,18 +114,18 @@
     send_state(reply);
 }
 
-fault_stage stand_in_runner::next_fault()
+fault_stage stand_in_runner::take_fault()
 {
-    if (failures_ <= 0) {
+    if (remaining_faults_ <= 0) {
         return fault_stage::none;
     }
-    --failures_;
-    return stage_;
+    --remaining_faults_;
+    return fault_stage_;
 }
 
 void stand_in_runner::serve(const http_request& request, const std::shared_ptr<http_reply>& reply)
 {
-    const auto fault = next_fault();
+    const auto fault = take_fault();
     if (fault == fault_stage::after_request) {
         reply->abort();
         return;
@@ -135,12 +135,12 @@
         return;
     }
     if (!request.target.starts_with("/v1/")) {
-        serve_plain(request, *reply);
+        serve_service_request(request, *reply);
         return;
     }
-    const auto wanted = request.fields.get("X-Epoch");
-    if (options_.checks_epoch &&
-        (phase_ != "ready" || (!wanted.empty() && number_of(wanted) != epoch_))) {
+    const auto expected_epoch = request.fields.get("X-Epoch");
+    if (options_.checks_epoch && (phase_ != "ready" || (!expected_epoch.empty() &&
+                                                        parse_number(expected_epoch) != epoch_))) {
         auto head = json_head(409);
         head.fields.add("Cedarpoint-Not-Run", "true");
         reply->send(std::move(head), R"({"error":"another epoch"})");
@@ -150,10 +150,10 @@
     const bool streamed = body.is_object() && body.value("stream", false);
     const int tokens =
         body.is_object() ? body.value("max_tokens", options_.tokens) : options_.tokens;
-    const auto id = ++last_stream_;
+    const auto id = ++last_stream_id_;
     auto& it = streams_[id];
     it.reply = reply;
-    it.next = static_cast<int>(number_of(request.fields.get("X-Resume-After")));
+    it.next = static_cast<int>(parse_number(request.fields.get("X-Resume-After")));
     it.end = tokens;
     it.fault = fault;
     it.chat = request.target.starts_with("/v1/chat/");
@@ -198,7 +198,7 @@
     it.timer->start(options_.token_ms * tokens);
 }
 
-void stand_in_runner::serve_plain(const http_request& request, http_reply& reply)
+void stand_in_runner::serve_service_request(const http_request& request, http_reply& reply)
 {
     ++served_;
     reply.send(json_head(200),
@@ -208,20 +208,20 @@
 void stand_in_runner::send_next_token(std::uint64_t id)
 {
     auto& it = streams_.at(id);
-    const bool half = it.next >= it.end / 2;
-    const bool breaks = (it.fault == fault_stage::after_head) ||
-                        (it.fault == fault_stage::mid_answer && half) ||
-                        (it.fault == fault_stage::before_end && it.next >= it.end);
-    if (it.fault == fault_stage::stall && half) {
+    const bool past_half = it.next >= it.end / 2;
+    const bool fails_now = (it.fault == fault_stage::after_head) ||
+                           (it.fault == fault_stage::mid_answer && past_half) ||
+                           (it.fault == fault_stage::before_end && it.next >= it.end);
+    if (it.fault == fault_stage::stall && past_half) {
         it.timer->stop();
         return;
     }
-    if (breaks || it.next > it.end) {
+    if (fails_now || it.next > it.end) {
         auto node = streams_.extract(id);
         node.mapped().timer.release()->deleteLater();
         const auto reply = node.mapped().reply;
         reply->on_caller_disconnected = nullptr;
-        if (breaks) {
+        if (fails_now) {
             reply->write("data: {\"half"); // a truncated event, which must never reach a caller
             reply->abort();
         }
@@ -238,7 +238,7 @@
         it.reply->write(token_event(it.chat, it.next));
     }
     else {
-        return; // the caller reads slowly: the token is written later
+        return; // the caller reads slowly: the next timer event tries again
     }
     ++it.next;
 }
