--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -13,27 +13,27 @@
 {
     cedarpoint::choose_event_loop();
     QCoreApplication app{argc, argv};
-    struct row {
+    struct benchmark {
         std::string_view name;
         void (*run)();
     };
-    constexpr row table[] = {
+    constexpr benchmark benchmarks[] = {
         {"relay", cedarpoint::bench::run_relay_bench},
         {"failover", cedarpoint::bench::run_failover_bench},
     };
-    int known = 0;
-    for (const auto& it : table) {
+    int run_count = 0;
+    for (const auto& it : benchmarks) {
         bool wanted = argc == 1;
         for (int n = 1; n < argc; ++n) {
             wanted = wanted || it.name == argv[n];
         }
         if (wanted) {
-            ++known;
+            ++run_count;
             it.run();
         }
     }
-    if (known == 0) {
+    if (run_count == 0) {
         fmt::print(stderr, "unknown benchmark; available: relay, failover\n");
     }
-    return known == 0 ? 1 : 0;
+    return run_count == 0 ? 1 : 0;
 }
--- a/bench/process_usage.cpp
+++ b/bench/process_usage.cpp
@@ -8,7 +8,7 @@
 
 namespace cedarpoint::bench {
 
-process_usage usage_of(std::int64_t pid)
+process_usage read_process_usage(std::int64_t pid)
 {
     process_usage out;
     std::ifstream stat{fmt::format("/proc/{}/stat", pid)};
