--- a/tests/compat/compat_support.cpp
+++ b/tests/compat/compat_support.cpp
@@ -35,7 +35,7 @@
     return out;
 }
 
-bool has_all(const std::string& line, const std::vector<std::string>& parts)
+bool contains_all(const std::string& line, const std::vector<std::string>& parts)
 {
     return std::all_of(parts.begin(), parts.end(), [&](const std::string& part) {
         return line.find(part) != std::string::npos;
@@ -44,39 +44,40 @@
 
 } // namespace
 
-std::string kept_path(const std::string& name)
+std::string test_data_path(const std::string& name)
 {
     return SOURCE_DIR "/tests/compat/" + name;
 }
 
-std::string kept_text(const std::string& name)
+std::string read_test_data(const std::string& name)
 {
-    return read_file(kept_path(name));
+    return read_file(test_data_path(name));
 }
 
-std::vector<std::string> kept_lines(const std::string& name)
+std::vector<std::string> read_test_data_lines(const std::string& name)
 {
-    auto out = split_lines(kept_text(name));
+    auto out = split_lines(read_test_data(name));
     std::erase_if(out, [](const std::string& line) { return line.empty() || line[0] == '#'; });
     return out;
 }
 
-void copy_kept_folder(const std::string& name, const std::string& to)
+void copy_test_data_folder(const std::string& name, const std::string& to)
 {
-    std::filesystem::copy(kept_path(name), to, std::filesystem::copy_options::recursive);
+    std::filesystem::copy(test_data_path(name), to, std::filesystem::copy_options::recursive);
 }
 
-endpoint free_endpoint(int host)
+endpoint find_free_endpoint(int host_index)
 {
     // Below the ephemeral port range of the kernel.
-    constexpr std::uint16_t first = 12'000;
-    constexpr std::uint16_t last = 31'000;
-    constexpr int spread = 250;
-    static std::uint16_t next = first;
+    constexpr std::uint16_t first_port = 12'000;
+    constexpr std::uint16_t last_port = 31'000;
+    constexpr int addresses_per_octet = 250;
+    static std::uint16_t next = first_port;
     const auto pid = static_cast<int>(QCoreApplication::applicationPid());
     const auto ip =
-        fmt::format("127.{}.{}.{}", 240 + host, pid / spread % spread, 1 + pid % spread);
-    while (next < last) {
+        fmt::format("127.{}.{}.{}", 240 + host_index,
+                    pid / addresses_per_octet % addresses_per_octet, 1 + pid % addresses_per_octet);
+    while (next < last_port) {
         QTcpServer server;
         if (server.listen(QHostAddress{QString::fromStdString(ip)}, ++next)) {
             return {ip, next};
@@ -85,14 +86,14 @@
     return {};
 }
 
-bool read_log(const std::string& folder, const std::string& self, replicated_state& state)
+bool replay_log(const std::string& folder, const std::string& self, replicated_state& state)
 {
     posix_file_system files;
     replicated_log::options options;
     options.self = member_id{self};
-    auto* only = options.bootstrap.add_members();
-    only->set_id(self);
-    only->set_voter(true);
+    auto* self_member = options.bootstrap.add_members();
+    self_member->set_id(self);
+    self_member->set_voter(true);
     reason why;
     // Time is an argument of the log, so several seconds are simulated without waiting.
     instant now{seconds{1000}};
@@ -103,16 +104,17 @@
         fmt::print(stderr, "{}\n", why.str());
         return false;
     }
-    const auto until = now + seconds{10};
-    while (now < until &&
+    const auto deadline = now + seconds{10};
+    while (now < deadline &&
            !(log->raft().is_leader() && log->applied() == log->raft().last_index())) {
         now += milliseconds{50};
         log->tick(now);
     }
-    return now < until;
+    return now < deadline;
 }
 
-daemon_run::daemon_run(const std::string& subcommand, const nlohmann::json& settings)
+cedarpoint_process::cedarpoint_process(const std::string& subcommand,
+                                       const nlohmann::json& settings)
 {
     const auto folder = folder_.path().toStdString();
     std::ofstream{folder + "/settings.json"} << settings.dump();
@@ -123,72 +125,72 @@
     process_.waitForStarted();
 }
 
-daemon_run::~daemon_run()
+cedarpoint_process::~cedarpoint_process()
 {
     signal(SIGKILL);
     process_.waitForFinished();
 }
 
-void daemon_run::signal(int number) const
+void cedarpoint_process::signal(int number) const
 {
     if (process_.state() == QProcess::Running) {
         ::kill(static_cast<pid_t>(process_.processId()), number);
     }
 }
 
-std::string daemon_run::log() const
+std::string cedarpoint_process::log() const
 {
     return read_file(folder_.filePath("log").toStdString());
 }
 
-bool daemon_run::has_line(const std::vector<std::string>& parts) const
+bool cedarpoint_process::has_line(const std::vector<std::string>& parts) const
 {
     const auto lines = split_lines(log());
     return std::any_of(lines.begin(), lines.end(),
-                       [&](const std::string& line) { return has_all(line, parts); });
+                       [&](const std::string& line) { return contains_all(line, parts); });
 }
 
-bool daemon_run::wait_for_line(const std::vector<std::string>& parts) const
+bool cedarpoint_process::wait_for_line(const std::vector<std::string>& parts) const
 {
     return wait_until([&] { return has_line(parts) || process_.state() != QProcess::Running; }) &&
            has_line(parts);
 }
 
-int daemon_run::wait_ended()
+int cedarpoint_process::wait_for_exit()
 {
-    const bool ended = wait_until([&] { return process_.state() == QProcess::NotRunning; });
-    return ended && process_.exitStatus() == QProcess::NormalExit ? process_.exitCode() : -1;
+    const bool exited = wait_until([&] { return process_.state() == QProcess::NotRunning; });
+    return exited && process_.exitStatus() == QProcess::NormalExit ? process_.exitCode() : -1;
 }
 
-names_by_event events_in(const std::string& log)
+fields_by_event parse_event_fields(const std::string& log)
 {
-    names_by_event out;
+    fields_by_event out;
     for (const auto& line : split_lines(log)) {
-        const auto read = nlohmann::json::parse(line, nullptr, false);
-        if (!read.is_object() || !read.contains("event")) {
+        const auto parsed = nlohmann::json::parse(line, nullptr, false);
+        if (!parsed.is_object() || !parsed.contains("event")) {
             continue;
         }
-        auto& names = out[read.at("event").get<std::string>()];
-        for (const auto& [name, value] : read.items()) {
+        auto& names = out[parsed.at("event").get<std::string>()];
+        for (const auto& [name, value] : parsed.items()) {
             names.insert(name);
         }
     }
     return out;
 }
 
-std::set<std::string> metrics_in(const std::string& text)
+std::set<std::string> parse_metrics(const std::string& text)
 {
-    const std::string mark = "# TYPE ";
+    const std::string prefix = "# TYPE ";
     std::set<std::string> out;
     for (const auto& line : split_lines(text)) {
-        if (line.starts_with(mark)) {
-            out.insert(line.substr(mark.size()));
+        if (line.starts_with(prefix)) {
+            out.insert(line.substr(prefix.size()));
         }
     }
     return out;
 }
 
-void note_found(const std::string& name, const std::string& text)
+void write_observed(const std::string& name, const std::string& text)
 {
     std::ofstream{std::string{BINARY_DIR} + "/found-" + name} << text;
 }
--- a/tests/compat/messages_test.cpp
+++ b/tests/compat/messages_test.cpp
@@ -18,8 +18,8 @@
 using google::protobuf::EnumDescriptor;
 using google::protobuf::FieldDescriptor;
 using google::protobuf::FileDescriptor;
-using testing_support::kept_lines;
-using testing_support::note_found;
+using testing_support::read_test_data_lines;
+using testing_support::write_observed;
 
 /// Returns "message.number: label, type, name"; message and enum types have their full name added.
 std::string describe_field(const FieldDescriptor& field)
@@ -41,50 +41,50 @@
 
 void describe_enum(const EnumDescriptor& in, std::vector<std::string>& out)
 {
-    for (int at = 0; at < in.value_count(); ++at) {
+    for (int n = 0; n < in.value_count(); ++n) {
         out.push_back(fmt::format("{}.{}: value, {}", std::string{in.full_name()},
-                                  in.value(at)->number(), std::string{in.value(at)->name()}));
+                                  in.value(n)->number(), std::string{in.value(n)->name()}));
     }
 }
 
 void describe_message(const Descriptor& in, std::vector<std::string>& out)
 {
-    for (int at = 0; at < in.field_count(); ++at) {
-        out.push_back(describe_field(*in.field(at)));
+    for (int n = 0; n < in.field_count(); ++n) {
+        out.push_back(describe_field(*in.field(n)));
     }
-    for (int at = 0; at < in.enum_type_count(); ++at) {
-        describe_enum(*in.enum_type(at), out);
+    for (int n = 0; n < in.enum_type_count(); ++n) {
+        describe_enum(*in.enum_type(n), out);
     }
-    for (int at = 0; at < in.nested_type_count(); ++at) {
-        describe_message(*in.nested_type(at), out);
+    for (int n = 0; n < in.nested_type_count(); ++n) {
+        describe_message(*in.nested_type(n), out);
     }
 }
 
 std::vector<std::string> describe_file(const FileDescriptor& in)
 {
     std::vector<std::string> out;
-    for (int at = 0; at < in.message_type_count(); ++at) {
-        describe_message(*in.message_type(at), out);
+    for (int n = 0; n < in.message_type_count(); ++n) {
+        describe_message(*in.message_type(n), out);
     }
-    for (int at = 0; at < in.enum_type_count(); ++at) {
-        describe_enum(*in.enum_type(at), out);
+    for (int n = 0; n < in.enum_type_count(); ++n) {
+        describe_enum(*in.enum_type(n), out);
     }
     return out;
 }
 
 TEST(the_messages_of_an_earlier_version, keep_their_field_numbers_types_and_labels)
 {
-    const auto present = describe_file(*wire::envelope::descriptor()->file());
+    const auto current = describe_file(*wire::envelope::descriptor()->file());
     std::string text;
-    for (const auto& line : present) {
+    for (const auto& line : current) {
         text += line + "\n";
     }
-    note_found("messages.golden", text);
-    const auto kept = kept_lines("messages.golden");
-    ASSERT_GE(kept.size(), 200U) << "the golden file is whole";
-    for (const auto& line : kept) {
-        EXPECT_NE(std::find(present.begin(), present.end(), line), present.end())
-            << "this field is not there any more as it was: " << line;
+    write_observed("messages.golden", text);
+    const auto golden = read_test_data_lines("messages.golden");
+    ASSERT_GE(golden.size(), 200U) << "the golden file is incomplete";
+    for (const auto& line : golden) {
+        EXPECT_NE(std::find(current.begin(), current.end(), line), current.end())
+            << "field removed or changed: " << line;
     }
 }
 
--- a/tests/compat/names_test.cpp
+++ b/tests/compat/names_test.cpp
@@ -18,16 +18,16 @@
 
 using namespace testing_support;
 
-/// Returns the golden lines of one role, without the role.
-std::vector<std::string> golden_of(const std::string& file, const std::string& role)
+/// Returns the lines of a golden file for one role, without the role.
+std::vector<std::string> golden_lines_of(const std::string& name, const std::string& role)
 {
     std::vector<std::string> out;
-    for (const auto& line : kept_lines(file)) {
+    for (const auto& line : read_test_data_lines(name)) {
         if (line.starts_with(role + " ")) {
             out.push_back(line.substr(role.size() + 1));
         }
     }
-    EXPECT_FALSE(out.empty()) << file << " " << role;
+    EXPECT_FALSE(out.empty()) << name << " " << role;
     return out;
 }
 
@@ -35,42 +35,43 @@
 {
     const auto answer = call(at, "GET", "/metrics", "", "");
     EXPECT_EQ(answer.head.status, 200);
-    const auto shown = metrics_in(answer.body);
-    std::string found;
-    for (const auto& each : shown) {
-        found += fmt::format("{} {}\n", role, each);
+    const auto metrics = parse_metrics(answer.body);
+    std::string observed;
+    for (const auto& each : metrics) {
+        observed += fmt::format("{} {}\n", role, each);
     }
-    note_found("metrics-" + role, found);
-    for (const auto& each : golden_of("metrics.golden", role)) {
-        EXPECT_TRUE(shown.contains(each)) << "is not shown any more by " << role << ": " << each;
+    write_observed("metrics-" + role, observed);
+    for (const auto& each : golden_lines_of("metrics.golden", role)) {
+        EXPECT_TRUE(metrics.contains(each)) << role << " no longer exposes the metric " << each;
     }
 }
 
 void expect_events(const std::string& role, const std::string& log)
 {
-    const auto logged = events_in(log);
-    std::string found;
-    for (const auto& [event, names] : logged) {
-        found += fmt::format("{} {}", role, event);
+    const auto events = parse_event_fields(log);
+    std::string observed;
+    for (const auto& [event, names] : events) {
+        observed += fmt::format("{} {}", role, event);
         for (const auto& name : names) {
-            found += " " + name;
+            observed += " " + name;
         }
-        found += "\n";
+        observed += "\n";
     }
-    note_found("events-" + role, found);
-    for (const auto& line : golden_of("events.golden", role)) {
+    write_observed("events-" + role, observed);
+    for (const auto& line : golden_lines_of("events.golden", role)) {
         std::istringstream in{line};
         std::string event;
         in >> event;
-        const auto names = logged.find(event);
-        ASSERT_NE(names, logged.end()) << role << " does not log " << event << " any more";
+        const auto names = events.find(event);
+        ASSERT_NE(names, events.end()) << role << " no longer logs the event " << event;
         for (std::string name; in >> name;) {
-            EXPECT_TRUE(names->second.contains(name)) << role << " " << event << " lost " << name;
+            EXPECT_TRUE(names->second.contains(name))
+                << role << " no longer logs the field " << name << " of " << event;
         }
     }
 }
 
-// --- the fleet ----------------------------------------------------------------------------------
+// --- control and entry daemons ------------------------------------------------------------------
 
 const std::string key = "Authorization: Bearer k2\r\n";
 
@@ -84,9 +85,9 @@
         for (const auto* id : {"s-1", "s-2"}) {
             runners.push_back(std::make_unique<platform_runner>(id, "shop", seeds));
         }
-        const auto file = kept_text("data/platform-document.json");
+        const auto document = read_test_data("data/platform-document.json");
         EXPECT_TRUE(control->wait_for_line({R"("event":"leading")"})) << control->log();
-        put_status = post("/cedarpoint/config/put", file);
+        put_status = post("/cedarpoint/config/put", document);
     }
 
     [[nodiscard]] nlohmann::json control_settings() const
@@ -94,7 +95,7 @@
         return {{"role", "control"},
                 {"name", "c"},
                 {"failure_domain", "z"},
-                {"address", mesh.str()},
+                {"address", daemon_address.str()},
                 {"control", seeds[0].str()},
                 {"metrics", control_metrics.str()},
                 {"data_folder", folder.path().toStdString()},
@@ -110,7 +111,7 @@
         return {{"role", "entry"},
                 {"name", "e"},
                 {"failure_domain", "z"},
-                {"address", endpoint{callers.ip, mesh.port}.str()},
+                {"address", endpoint{callers.ip, daemon_address.port}.str()},
                 {"callers", callers.str()},
                 {"ready", ready.str()},
                 {"metrics", entry_metrics.str()},
@@ -123,7 +124,8 @@
         return call(seeds[0], "POST", path, "", body).head.status;
     }
 
-    http_answer ask(const std::string& method, const std::string& path, const std::string& headers)
+    http_answer send_request(const std::string& method, const std::string& path,
+                             const std::string& headers)
     {
         const auto id = fmt::format("r{}", ++requests);
         return call(callers, method, path,
@@ -132,9 +134,9 @@
                     "why");
     }
 
-    /// Waits until both kinds of routes answer; returns false on a timeout. Sends requests slowly:
-    /// the log limits lines of one kind, and fast retries would suppress lines that the test
-    /// expects.
+    /// Waits until routes to the group and to the service answer; returns false on a timeout. Sends
+    /// requests at an interval, since the log limits the rate of lines of one kind: fast retries
+    /// would suppress lines that the test expects.
     bool serves()
     {
         const auto pause = std::chrono::milliseconds{50};
@@ -144,8 +146,8 @@
                 return false;
             }
             next = std::chrono::steady_clock::now() + pause;
-            return ask("POST", "/ask/x", key).head.status == 200 &&
-                   ask("GET", "/safe/x", key).head.status == 200;
+            return send_request("POST", "/ask/x", key).head.status == 200 &&
+                   send_request("GET", "/safe/x", key).head.status == 200;
         });
     }
 
@@ -156,9 +158,9 @@
             runner->fail_next = 1; // an attempt that fails
             runner->cut_stream = true;
         }
-        ask("GET", "/safe/x", key);
-        ask("POST", "/ask/x", key);
-        ask("GET", "/nowhere/x", key);
+        send_request("GET", "/safe/x", key);
+        send_request("POST", "/ask/x", key);
+        send_request("GET", "/nowhere/x", key);
         EXPECT_EQ(post("/cedarpoint/instances/i-9/heartbeat", "{}"), 400);
         EXPECT_EQ(post("/cedarpoint/config/put", "{}"), 400);
         EXPECT_EQ(post("/cedarpoint/instances/i-9/deregister", ""), 200);
@@ -168,34 +170,36 @@
         EXPECT_TRUE(control->wait_for_line({R"("event":"look_failed")"})) << control->log();
         // Another control daemon asks to join.
         auto joining_settings = control_settings();
-        joining_settings["address"] = endpoint{free_endpoint(2).ip, mesh.port}.str();
-        joining_settings["control"] = free_endpoint(2).str();
-        joining_settings["metrics"] = free_endpoint(2).str();
+        joining_settings["address"] = endpoint{find_free_endpoint(2).ip, daemon_address.port}.str();
+        joining_settings["control"] = find_free_endpoint(2).str();
+        joining_settings["metrics"] = find_free_endpoint(2).str();
         joining_settings["data_folder"] = folder.path().toStdString() + "/newcomer";
         joining_settings["first_start"] = false;
-        const daemon_run follower{"fleet", joining_settings};
+        const cedarpoint_process follower{"fleet", joining_settings};
         EXPECT_TRUE(control->wait_for_line({R"("event":"member")"})) << control->log();
     }
 
     QTemporaryDir folder;
-    endpoint mesh = free_endpoint(0);
-    std::vector<endpoint> seeds{free_endpoint(0)};
-    endpoint control_metrics = free_endpoint(0);
-    endpoint callers = free_endpoint(1);
-    endpoint ready = free_endpoint(1);
-    endpoint entry_metrics = free_endpoint(1);
-    std::unique_ptr<daemon_run> control = std::make_unique<daemon_run>("fleet", control_settings());
-    std::unique_ptr<daemon_run> entry = std::make_unique<daemon_run>("fleet", entry_settings());
+    endpoint daemon_address = find_free_endpoint(0);
+    std::vector<endpoint> seeds{find_free_endpoint(0)};
+    endpoint control_metrics = find_free_endpoint(0);
+    endpoint callers = find_free_endpoint(1);
+    endpoint ready = find_free_endpoint(1);
+    endpoint entry_metrics = find_free_endpoint(1);
+    std::unique_ptr<cedarpoint_process> control =
+        std::make_unique<cedarpoint_process>("fleet", control_settings());
+    std::unique_ptr<cedarpoint_process> entry =
+        std::make_unique<cedarpoint_process>("fleet", entry_settings());
     std::vector<std::unique_ptr<platform_runner>> runners;
     int put_status = 0;
     int requests = 0;
 };
 
-TEST_F(a_fleet_of_processes, shows_the_metrics_of_an_earlier_version)
+TEST_F(a_fleet_of_processes, exposes_the_metrics_of_an_earlier_version)
 {
     ASSERT_EQ(put_status, 200);
     ASSERT_TRUE(serves()) << entry->log();
-    EXPECT_EQ(ask("POST", "/once/x", key).head.status, 200);
+    EXPECT_EQ(send_request("POST", "/once/x", key).head.status, 200);
     expect_metrics("control", control_metrics);
     expect_metrics("entry", entry_metrics);
 }
@@ -206,36 +210,37 @@
     ASSERT_TRUE(serves()) << entry->log();
     trigger_rare_events();
     entry->signal(SIGTERM);
-    EXPECT_EQ(entry->wait_ended(), 0);
+    EXPECT_EQ(entry->wait_for_exit(), 0);
     EXPECT_TRUE(control->wait_for_line({R"("event":"dependency_lost")"})) << control->log();
-    auto same_addresses = control_settings();
-    same_addresses["data_folder"] = folder.path().toStdString() + "/second";
-    daemon_run second{"fleet", same_addresses};
-    EXPECT_EQ(second.wait_ended(), 2);
+    auto conflicting_settings = control_settings();
+    conflicting_settings["data_folder"] = folder.path().toStdString() + "/second";
+    cedarpoint_process conflicting{"fleet", conflicting_settings};
+    EXPECT_EQ(conflicting.wait_for_exit(), 2);
     control->signal(SIGTERM);
-    EXPECT_EQ(control->wait_ended(), 0);
-    expect_events("control", control->log() + second.log());
+    EXPECT_EQ(control->wait_for_exit(), 0);
+    expect_events("control", control->log() + conflicting.log());
     expect_events("entry", entry->log());
 }
 
-TEST_F(a_fleet_of_processes, takes_a_platforms_document_as_an_earlier_version_did)
+TEST_F(a_fleet_of_processes, serves_by_a_platform_document_of_an_earlier_version)
 {
     ASSERT_EQ(put_status, 200);
     EXPECT_EQ(call(seeds[0], "GET", "/cedarpoint/config/get", "", "").body,
-              kept_text("data/platform-document.json"));
+              read_test_data("data/platform-document.json"));
     EXPECT_TRUE(entry->wait_for_line({R"("event":"in_force")", R"("version":"12")"}));
     ASSERT_TRUE(serves()) << entry->log();
     // A group of three runners, the size of the engine's model.
     EXPECT_TRUE(
         control->has_line({R"("event":"placement")", R"("phase":"serving")", "i-1", "i-2", "i-3"}))
         << control->log();
-    const auto streamed = ask("POST", "/ask/x", key);
+    const auto streamed = send_request("POST", "/ask/x", key);
     EXPECT_EQ(streamed.head.fields.get("Content-Type"), "text/event-stream");
-    EXPECT_EQ(ask("POST", "/once/x", key).body, "plain why");
-    EXPECT_EQ(ask("POST", "/once/x", "Authorization: Bearer k1\r\n").head.status, 200);
-    EXPECT_EQ(ask("POST", "/once/x", "Authorization: Bearer k3\r\n").head.status, 401);
-    EXPECT_EQ(ask("GET", "/safe/x", "").head.status, 200) << "a public route asks for no key";
-    EXPECT_EQ(ask("GET", "/nowhere/x", key).head.status, 404);
+    EXPECT_EQ(send_request("POST", "/once/x", key).body, "plain why");
+    EXPECT_EQ(send_request("POST", "/once/x", "Authorization: Bearer k1\r\n").head.status, 200);
+    EXPECT_EQ(send_request("POST", "/once/x", "Authorization: Bearer k3\r\n").head.status, 401);
+    EXPECT_EQ(send_request("GET", "/safe/x", "").head.status, 200)
+        << "a public route requires no key";
+    EXPECT_EQ(send_request("GET", "/nowhere/x", key).head.status, 404);
     for (std::size_t each = 3; each < runners.size(); ++each) {
         for (const auto& account : runners[each]->accounts) {
             EXPECT_TRUE(account == "till" || account.empty()) << account;
@@ -243,21 +248,22 @@
     }
 }
 
-// --- a daemon that names its peers --------------------------------------------------------------
+// --- a daemon with a static list of peers -------------------------------------------------------
 
 class a_peer_process : public testing::Test {
 protected:
     a_peer_process()
     {
         reason why;
-        for (int made = 0; made < 5; ++made) { // four engines and a shop
+        for (int n = 0; n < 5; ++n) { // four engines and a service
             engines.push_back(std::make_unique<stand_in_runner>(stand_in_runner::options{}));
             engines.back()->start({"127.0.0.1", 0}, why);
         }
-        EXPECT_TRUE(wait_until([&] { return post("/v1/configuration", file()) == 200; }));
+        EXPECT_TRUE(
+            wait_until([&] { return post("/v1/configuration", configuration_file()) == 200; }));
     }
 
-    [[nodiscard]] nlohmann::json own() const
+    [[nodiscard]] nlohmann::json daemon_settings() const
     {
         return {{"id", "d1"},
                 {"failure_domain", "zone"},
@@ -268,7 +274,7 @@
                 {"json_logs", true}};
     }
 
-    [[nodiscard]] std::string file() const
+    [[nodiscard]] std::string configuration_file() const
     {
         auto out = nlohmann::json::parse(R"({"based_on": 0, "change_id": "first",
             "failure_domains": ["zone"],
@@ -303,20 +309,21 @@
         return call(operators, "POST", path, "", body).head.status;
     }
 
-    /// Waits until the group and the shop answer; returns false on a timeout.
+    /// Waits until the group and the service answer; returns false on a timeout.
     [[nodiscard]] bool serves() const
     {
-        return wait_until([&] { return chat() == 200 && shop("") == 200; });
+        return wait_until(
+            [&] { return send_chat_request() == 200 && send_shop_request("") == 200; });
     }
 
-    [[nodiscard]] int chat() const
+    [[nodiscard]] int send_chat_request() const
     {
         return call(callers, "POST", "/v1/chat/completions", secret,
                     R"({"model":"m","stream":true,"messages":[{"role":"user","content":"why"}]})")
             .head.status;
     }
 
-    [[nodiscard]] int shop(const std::string& headers) const
+    [[nodiscard]] int send_shop_request(const std::string& headers) const
     {
         return call(callers, "POST", "/shop/order", secret + headers, "x").head.status;
     }
@@ -325,13 +332,13 @@
         "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
     const std::string secret = "Authorization: Bearer secret\r\n";
     QTemporaryDir folder;
-    endpoint callers = free_endpoint(0);
-    endpoint operators = free_endpoint(0);
+    endpoint callers = find_free_endpoint(0);
+    endpoint operators = find_free_endpoint(0);
     std::vector<std::unique_ptr<stand_in_runner>> engines;
-    daemon_run process{"serve", own()};
+    cedarpoint_process process{"serve", daemon_settings()};
 };
 
-TEST_F(a_peer_process, shows_the_metrics_of_an_earlier_version)
+TEST_F(a_peer_process, exposes_the_metrics_of_an_earlier_version)
 {
     ASSERT_TRUE(serves()) << process.log();
     EXPECT_EQ(call(callers, "POST", "/shop/order", "", "x").head.status, 401);
@@ -341,17 +348,17 @@
 TEST_F(a_peer_process, logs_the_events_of_an_earlier_version)
 {
     ASSERT_TRUE(serves()) << process.log();
-    EXPECT_EQ(shop("Idempotency-Key: k\r\nCedarpoint-Not-Repeatable: true\r\n"), 200);
+    EXPECT_EQ(send_shop_request("Idempotency-Key: k\r\nCedarpoint-Not-Repeatable: true\r\n"), 200);
     engines.back()->fail_next(fault_stage::after_request, 1);
-    EXPECT_NE(shop("Cedarpoint-Not-Repeatable: true\r\n"), 200);
+    EXPECT_NE(send_shop_request("Cedarpoint-Not-Repeatable: true\r\n"), 200);
     EXPECT_TRUE(process.wait_for_line({R"("event":"upstream_failed")"})) << process.log();
-    auto same_addresses = own();
-    same_addresses["data_folder"] = folder.path().toStdString() + "/second";
-    daemon_run second{"serve", same_addresses};
-    EXPECT_EQ(second.wait_ended(), 2);
+    auto conflicting_settings = daemon_settings();
+    conflicting_settings["data_folder"] = folder.path().toStdString() + "/second";
+    cedarpoint_process conflicting{"serve", conflicting_settings};
+    EXPECT_EQ(conflicting.wait_for_exit(), 2);
     process.signal(SIGTERM);
-    EXPECT_EQ(process.wait_ended(), 0);
-    expect_events("peer", process.log() + second.log());
+    EXPECT_EQ(process.wait_for_exit(), 0);
+    expect_events("peer", process.log() + conflicting.log());
 }
 
 } // namespace
--- a/tests/compat/stored_data_test.cpp
+++ b/tests/compat/stored_data_test.cpp
@@ -1,5 +1,5 @@
 // Guards against losing acknowledged data when an update starts on a data folder of an earlier
-// version. data/README.md describes how the kept folders were written.
+// version. data/README.md describes how these folders were written.
 
 #include "cedarpoint/fleet/fleet_state.h"
 #include "cedarpoint/state/domain_state.h"
@@ -19,15 +19,15 @@
 
 using namespace testing_support;
 
-constexpr const char* control_id = "127.91.4.1:17411"; ///< as written in the kept log
+constexpr const char* control_id = "127.91.4.1:17411"; ///< as written in the stored log
 constexpr const char* peer_id = "kept-1";
 
-/// A temporary copy of a kept folder.
-class copied_folder {
+/// A temporary copy of a folder below tests/compat/data.
+class temporary_copy {
 public:
-    explicit copied_folder(const std::string& name) : path_{folder_.path().toStdString() + "/data"}
+    explicit temporary_copy(const std::string& name) : path_{folder_.path().toStdString() + "/data"}
     {
-        copy_kept_folder("data/" + name, path_);
+        copy_test_data_folder("data/" + name, path_);
     }
     [[nodiscard]] const std::string& path() const { return path_; }
 
@@ -37,7 +37,7 @@
 };
 
 /// The state machine of a peer's log of its failure domain.
-class domain_reader final : public replicated_state {
+class domain_state_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
     {
@@ -53,7 +53,7 @@
 };
 
 /// The state machine of a peer's log of the root.
-class root_reader final : public replicated_state {
+class root_state_machine final : public replicated_state {
 public:
     std::string apply(const std::string& command) override
     {
@@ -68,27 +68,27 @@
     root_state root;
 };
 
-// --- a control daemon's folder ------------------------------------------------------------------
+// --- the data folder of a control daemon --------------------------------------------------------
 
 class a_control_daemons_folder_of_an_earlier_version : public testing::Test {
 protected:
     /// Returns a snapshot of the state that results from the log in the folder.
-    wire::fleet_snapshot read()
+    wire::fleet_snapshot read_snapshot()
     {
         fleet_state state;
-        EXPECT_TRUE(read_log(folder.path() + "/fleet", control_id, state));
+        EXPECT_TRUE(replay_log(folder.path() + "/fleet", control_id, state));
         wire::fleet_snapshot out;
         EXPECT_TRUE(out.ParseFromString(state.save()));
         return out;
     }
 
-    [[nodiscard]] nlohmann::json settings_on_copy() const
+    [[nodiscard]] nlohmann::json settings_for_copy() const
     {
         return {{"role", "control"},
                 {"name", "kept"},
                 {"failure_domain", "z"},
                 {"address", control_id},
-                {"bind", free_endpoint(0).str()}, // `control_id` may be in use on this machine
+                {"bind", find_free_endpoint(0).str()}, // `control_id` may be in use on this machine
                 {"control", control.str()},
                 {"data_folder", folder.path()},
                 {"seeds", {control.str()}},
@@ -97,24 +97,24 @@
                 {"heartbeat_ms", 150}};
     }
 
-    copied_folder folder{"control"};
-    endpoint control = free_endpoint(0);
+    temporary_copy folder{"control"};
+    endpoint control = find_free_endpoint(0);
 };
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, gives_back_the_configuration)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, restores_the_configuration)
 {
     fleet_state state;
-    ASSERT_TRUE(read_log(folder.path() + "/fleet", control_id, state));
+    ASSERT_TRUE(replay_log(folder.path() + "/fleet", control_id, state));
     EXPECT_EQ(state.version(), 9U);
-    EXPECT_EQ(state.document(), kept_text("data/control-document.json"));
+    EXPECT_EQ(state.document(), read_test_data("data/control-document.json"));
 }
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, gives_back_every_departure)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, restores_every_departure)
 {
     fleet_state state;
-    ASSERT_TRUE(read_log(folder.path() + "/fleet", control_id, state));
-    const auto saved = read();
-    EXPECT_EQ(saved.departures_size(), 65);
+    ASSERT_TRUE(replay_log(folder.path() + "/fleet", control_id, state));
+    const auto snapshot = read_snapshot();
+    EXPECT_EQ(snapshot.departures_size(), 65);
     EXPECT_TRUE(state.is_gone(runner_id{"gone-before"}));
     for (int each = 1; each <= 62; ++each) {
         EXPECT_TRUE(state.is_gone(runner_id{fmt::format("gone-{}", each)})) << each;
@@ -125,46 +125,47 @@
     EXPECT_FALSE(state.is_leaving(runner_id{"i-1"}));
 }
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, gives_back_every_runner_and_its_address)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, restores_every_runner_and_its_address)
 {
-    const auto saved = read();
-    std::map<std::string, std::string> found;
-    for (const auto& each : saved.registrations()) {
-        found[each.runner()] =
+    const auto snapshot = read_snapshot();
+    std::map<std::string, std::string> actual;
+    for (const auto& each : snapshot.registrations()) {
+        actual[each.runner()] =
             fmt::format("{} {} {} {} {}", each.service(), each.address(), each.failure_domain(),
                         each.fabric_domain(), each.slots());
     }
-    const std::map<std::string, std::string> wanted{
+    const std::map<std::string, std::string> expected{
         {"i-1", "pool 127.91.4.11:19001 z z-d0 4"}, {"i-2", "pool 127.91.4.11:19002 z z-d0 4"},
         {"i-3", "pool 127.91.4.11:19003 z z-d0 4"}, {"i-4", "pool 127.91.4.11:19004 z z-d0 4"},
         {"i-5", "pool 127.91.4.11:19005 z z-d0 4"}, {"s-1", "shop 127.91.4.12:19001 z z-d0 4"}};
-    EXPECT_EQ(found, wanted);
+    EXPECT_EQ(actual, expected);
 }
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, gives_back_the_groups_that_may_be_open)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, restores_the_groups_that_may_be_open)
 {
-    const auto saved = read();
-    std::map<std::string, std::string> found;
-    for (const auto& each : saved.groups()) {
-        found[each.name()] = fmt::format("{} {} {}", each.epoch(), each.service(), each.model());
+    const auto snapshot = read_snapshot();
+    std::map<std::string, std::string> actual;
+    for (const auto& each : snapshot.groups()) {
+        actual[each.name()] = fmt::format("{} {} {}", each.epoch(), each.service(), each.model());
         for (const auto& member : each.members()) {
-            found[each.name()] += " " + member;
+            actual[each.name()] += " " + member;
         }
     }
-    const std::map<std::string, std::string> wanted{{"i-1.1048577", "1048577 pool small i-1 i-2"},
-                                                    {"i-3.1048578", "1048578 pool small i-3 i-4"}};
-    EXPECT_EQ(found, wanted);
+    const std::map<std::string, std::string> expected{
+        {"i-1.1048577", "1048577 pool small i-1 i-2"},
+        {"i-3.1048578", "1048578 pool small i-3 i-4"}};
+    EXPECT_EQ(actual, expected);
 }
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, is_what_a_daemon_starts_with)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, is_read_by_a_daemon_at_its_start)
 {
-    const daemon_run daemon{"fleet", settings_on_copy()};
+    const cedarpoint_process daemon{"fleet", settings_for_copy()};
     ASSERT_TRUE(daemon.wait_for_line({"event=started", "role=control", control_id}))
         << daemon.log();
     ASSERT_TRUE(daemon.wait_for_line({"event=leading", "version=9"})) << daemon.log();
-    const auto read = call(control, "GET", "/cedarpoint/config/get", "", "");
-    EXPECT_EQ(read.head.status, 200);
-    EXPECT_EQ(read.body, kept_text("data/control-document.json"));
+    const auto answer = call(control, "GET", "/cedarpoint/config/get", "", "");
+    EXPECT_EQ(answer.head.status, 200);
+    EXPECT_EQ(answer.body, read_test_data("data/control-document.json"));
     for (const auto* group : {"i-1.1048577 ", "i-3.1048578 "}) {
         EXPECT_TRUE(daemon.wait_for_line(
             {"event=placement", std::string{"group="} + group, "reason=inherited"}))
@@ -172,9 +173,9 @@
     }
 }
 
-TEST_F(a_control_daemons_folder_of_an_earlier_version, makes_a_daemon_know_who_has_left)
+TEST_F(a_control_daemons_folder_of_an_earlier_version, tells_a_daemon_which_runners_have_left)
 {
-    const daemon_run daemon{"fleet", settings_on_copy()};
+    const cedarpoint_process daemon{"fleet", settings_for_copy()};
     ASSERT_TRUE(daemon.wait_for_line({"event=leading"})) << daemon.log();
     for (const auto* runner : {"gone-before", "gone-62", "gone-after", "never-seen"}) {
         const auto path = fmt::format("/cedarpoint/instances/{}/deregister", runner);
@@ -185,20 +186,20 @@
     EXPECT_FALSE(daemon.has_line({"event=departure", "runner=gone-"})) << daemon.log();
 }
 
-// --- a peer's folder ----------------------------------------------------------------------------
+// --- the data folder of a peer ------------------------------------------------------------------
 
 class a_peers_folder_of_an_earlier_version : public testing::Test {
 protected:
-    wire::domain_snapshot read_domain()
+    wire::domain_snapshot read_domain_snapshot()
     {
-        domain_reader state;
-        EXPECT_TRUE(read_log(folder.path() + "/domain-zone", peer_id, state));
+        domain_state_machine state;
+        EXPECT_TRUE(replay_log(folder.path() + "/domain-zone", peer_id, state));
         wire::domain_snapshot out;
         EXPECT_TRUE(out.ParseFromString(state.save()));
         return out;
     }
 
-    [[nodiscard]] nlohmann::json settings_on_copy() const
+    [[nodiscard]] nlohmann::json settings_for_copy() const
     {
         return {{"id", peer_id},
                 {"failure_domain", "zone"},
@@ -207,21 +208,21 @@
                 {"data_folder", folder.path()}};
     }
 
-    [[nodiscard]] nlohmann::json ask(const std::string& path) const
+    [[nodiscard]] nlohmann::json get_json(const std::string& path) const
     {
         const auto answer = call(operators, "GET", path, "", "");
         return nlohmann::json::parse(answer.body, nullptr, false);
     }
 
-    copied_folder folder{"peer"};
-    endpoint callers = free_endpoint(0);
-    endpoint operators = free_endpoint(0);
+    temporary_copy folder{"peer"};
+    endpoint callers = find_free_endpoint(0);
+    endpoint operators = find_free_endpoint(0);
 };
 
-TEST_F(a_peers_folder_of_an_earlier_version, gives_back_the_answers_to_changes)
+TEST_F(a_peers_folder_of_an_earlier_version, restores_the_results_of_configuration_changes)
 {
-    root_reader state;
-    ASSERT_TRUE(read_log(folder.path() + "/root", peer_id, state));
+    root_state_machine state;
+    ASSERT_TRUE(replay_log(folder.path() + "/root", peer_id, state));
     EXPECT_EQ(state.root.in_force().value, 9U);
     EXPECT_EQ(state.root.accepted().change_id(), "change-9");
     for (std::uint64_t each = 1; each <= 9; ++each) {
@@ -232,43 +233,43 @@
     }
 }
 
-TEST_F(a_peers_folder_of_an_earlier_version, gives_back_the_group_and_the_drain)
+TEST_F(a_peers_folder_of_an_earlier_version, restores_the_group_and_the_drain)
 {
-    const auto read = read_domain();
-    EXPECT_EQ(read.configuration().revision(), 9U);
-    EXPECT_EQ(read.last_epoch(), 1U);
-    ASSERT_EQ(read.groups_size(), 1);
-    const auto& group = read.groups(0);
+    const auto snapshot = read_domain_snapshot();
+    EXPECT_EQ(snapshot.configuration().revision(), 9U);
+    EXPECT_EQ(snapshot.last_epoch(), 1U);
+    ASSERT_EQ(snapshot.groups_size(), 1);
+    const auto& group = snapshot.groups(0);
     EXPECT_EQ(group.id() + " " + group.pool() + " " + group.model() + " " + group.version(),
               "pool/0 pool m 1");
     EXPECT_EQ(group.epoch(), 1U);
     EXPECT_EQ(std::vector<std::string>(group.nodes().begin(), group.nodes().end()),
               (std::vector<std::string>{"n0", "n1", "n2", "n3"}));
-    ASSERT_EQ(read.drains_size(), 1);
-    EXPECT_EQ(read.drains(0).kind() + " " + read.drains(0).id(), "node n4");
+    ASSERT_EQ(snapshot.drains_size(), 1);
+    EXPECT_EQ(snapshot.drains(0).kind() + " " + snapshot.drains(0).id(), "node n4");
 }
 
-TEST_F(a_peers_folder_of_an_earlier_version, gives_back_the_claims)
+TEST_F(a_peers_folder_of_an_earlier_version, restores_the_claims)
 {
-    const auto saved = read_domain();
-    std::map<std::string, std::uint32_t> found;
-    for (const auto& each : saved.claims()) {
+    const auto snapshot = read_domain_snapshot();
+    std::map<std::string, std::uint32_t> actual;
+    for (const auto& each : snapshot.claims()) {
         EXPECT_EQ(each.account(), "acme");
         EXPECT_FALSE(each.holder().empty());
-        found[each.key()] = each.outcome();
+        actual[each.key()] = each.outcome();
     }
     constexpr std::uint32_t ran = 1;
-    const std::map<std::string, std::uint32_t> wanted{{"before-the-snapshot", ran},
-                                                      {"after-the-snapshot", ran}};
-    EXPECT_EQ(found, wanted);
+    const std::map<std::string, std::uint32_t> expected{{"before-the-snapshot", ran},
+                                                        {"after-the-snapshot", ran}};
+    EXPECT_EQ(actual, expected);
 }
 
-TEST_F(a_peers_folder_of_an_earlier_version, is_what_a_daemon_starts_with)
+TEST_F(a_peers_folder_of_an_earlier_version, is_read_by_a_daemon_at_its_start)
 {
-    const daemon_run daemon{"serve", settings_on_copy()};
+    const cedarpoint_process daemon{"serve", settings_for_copy()};
     ASSERT_TRUE(daemon.wait_for_line({"event=in_force", "revision=9", "change=change-9"}))
         << daemon.log();
-    const auto status = ask("/v1/status");
+    const auto status = get_json("/v1/status");
     ASSERT_TRUE(status.is_object()) << status;
     EXPECT_EQ(status.at("revision"), 9);
     EXPECT_EQ(status.at("change_id"), "change-9");
@@ -280,22 +281,23 @@
     for (const auto& node : status.at("nodes")) {
         EXPECT_EQ(node.at("draining"), node.at("id") == "n4") << node;
     }
-    const auto configuration = ask("/v1/configuration");
+    const auto configuration = get_json("/v1/configuration");
     EXPECT_EQ(configuration.at("revision"), 9);
-    EXPECT_EQ(configuration.at("text"), kept_text("data/peer-file.json"));
+    EXPECT_EQ(configuration.at("text"), read_test_data("data/peer-file.json"));
 }
 
-TEST_F(a_peers_folder_of_an_earlier_version, keeps_a_claimed_request_from_running_again)
+TEST_F(a_peers_folder_of_an_earlier_version, prevents_a_claimed_request_from_running_again)
 {
-    const daemon_run daemon{"serve", settings_on_copy()};
+    const cedarpoint_process daemon{"serve", settings_for_copy()};
     ASSERT_TRUE(daemon.wait_for_line({"event=in_force", "revision=9"})) << daemon.log();
-    // The claims were made with a clock set far in the future, so they are always within their day.
+    // A claim is kept for a day. The clock that wrote these was set 70 years ahead, so they have
+    // not expired.
     for (const auto* key : {"before-the-snapshot", "after-the-snapshot"}) {
         const auto headers = fmt::format("Authorization: Bearer secret\r\nIdempotency-Key: {}\r\n"
                                          "Cedarpoint-Not-Repeatable: true\r\n",
                                          key);
         http_answer answer;
-        // Until the daemon leads its failure domain it can't look up the claim.
+        // The daemon looks up claims only while it leads its failure domain.
         ASSERT_TRUE(wait_until([&] {
             answer = call(callers, "POST", "/shop/order", headers, "x");
             return answer.head.status != 503;
