--- a/tests/support/daemon_process.h
+++ b/tests/support/daemon_process.h
@@ -12,7 +12,7 @@
 class daemon_process {
 public:
     /// `preload`: a library for LD_PRELOAD; empty: none.
-    daemon_process(const std::string& settings_file, const std::string& log,
+    daemon_process(const std::string& settings_file, const std::string& log_file,
                    const std::string& preload = {})
     {
         if (!preload.empty()) {
@@ -21,7 +21,7 @@
             process_.setProcessEnvironment(environment);
         }
         process_.setProcessChannelMode(QProcess::MergedChannels);
-        process_.setStandardOutputFile(QString::fromStdString(log), QIODevice::Append);
+        process_.setStandardOutputFile(QString::fromStdString(log_file), QIODevice::Append);
         process_.start(BINARY_DIR "/cedarpoint",
                        {"fleet", "--settings", QString::fromStdString(settings_file)});
         process_.waitForStarted();
@@ -35,10 +35,10 @@
     daemon_process(const daemon_process&) = delete;
     daemon_process& operator=(const daemon_process&) = delete;
 
-    void signal(int number) const
+    void signal(int signal_number) const
     {
         if (process_.state() == QProcess::Running) {
-            ::kill(static_cast<pid_t>(process_.processId()), number);
+            ::kill(static_cast<pid_t>(process_.processId()), signal_number);
         }
     }
     [[nodiscard]] bool is_running() const { return process_.state() == QProcess::Running; }
--- a/tests/support/fleet_processes.cpp
+++ b/tests/support/fleet_processes.cpp
@@ -22,8 +22,8 @@
 
 fleet_processes::fleet_processes(options options) : options_{std::move(options)}
 {
-    for (int which = 0; which < control_count; ++which) {
-        controls_.push_back({fmt::format("127.{}.1.{}", options_.net, which + 1), control_port});
+    for (int index = 0; index < control_count; ++index) {
+        controls_.push_back({fmt::format("127.{}.1.{}", options_.net, index + 1), control_port});
     }
     daemons_.resize(std::size_t{control_count} + static_cast<std::size_t>(options_.entry_daemons));
 }
@@ -38,78 +38,79 @@
     return {fmt::format("127.{}.2.{}", options_.net, control + 1), mesh_port};
 }
 
-std::string fleet_processes::ip_of_entry(int which) const
+std::string fleet_processes::ip_of_entry(int index) const
 {
-    return fmt::format("127.{}.3.{}", options_.net, which - control_count + 1);
+    return fmt::format("127.{}.3.{}", options_.net, index - control_count + 1);
 }
 
 std::vector<endpoint> fleet_processes::entries() const
 {
     std::vector<endpoint> out;
-    for (int which = control_count; which < count(); ++which) {
-        out.push_back({ip_of_entry(which), callers_port});
+    for (int index = control_count; index < count(); ++index) {
+        out.push_back({ip_of_entry(index), callers_port});
     }
     return out;
 }
 
-void fleet_processes::start(int which, bool first)
+void fleet_processes::start(int index, bool first_start)
 {
-    nlohmann::json own{{"name", fmt::format("d-{}", which)}, {"failure_domain", "z"}};
-    for (const auto& at : controls_) {
-        own["seeds"].push_back(at.str());
+    nlohmann::json settings_json{{"name", fmt::format("d-{}", index)}, {"failure_domain", "z"}};
+    for (const auto& address : controls_) {
+        settings_json["seeds"].push_back(address.str());
     }
-    if (which < control_count) {
-        own["role"] = "control";
-        own["address"] = mesh_address(which).str();
+    if (index < control_count) {
+        settings_json["role"] = "control";
+        settings_json["address"] = mesh_address(index).str();
         if (options_.behind_proxies) {
-            own["bind"] = bind_address(which).str();
+            settings_json["bind"] = bind_address(index).str();
         }
-        own["control"] = controls_[static_cast<std::size_t>(which)].str();
-        own["data_folder"] = fmt::format("{}/data-{}", folder_.path().toStdString(), which);
-        own["first_start"] = first;
-        own["heartbeat_ms"] = runner_heartbeat.count();
+        settings_json["control"] = controls_[static_cast<std::size_t>(index)].str();
+        settings_json["data_folder"] =
+            fmt::format("{}/data-{}", folder_.path().toStdString(), index);
+        settings_json["first_start"] = first_start;
+        settings_json["heartbeat_ms"] = runner_heartbeat.count();
     }
     else {
-        own["role"] = "entry";
-        own["address"] = endpoint{ip_of_entry(which), mesh_port}.str();
-        own["callers"] = endpoint{ip_of_entry(which), callers_port}.str();
-        own["ready"] = endpoint{ip_of_entry(which), ready_port}.str();
+        settings_json["role"] = "entry";
+        settings_json["address"] = endpoint{ip_of_entry(index), mesh_port}.str();
+        settings_json["callers"] = endpoint{ip_of_entry(index), callers_port}.str();
+        settings_json["ready"] = endpoint{ip_of_entry(index), ready_port}.str();
         if (options_.retry_ratio > 0) {
-            own["retry_budget"]["ratio"] = options_.retry_ratio;
+            settings_json["retry_budget"]["ratio"] = options_.retry_ratio;
         }
     }
-    const auto file = fmt::format("{}/d-{}.json", folder_.path().toStdString(), which);
-    std::ofstream{file} << own.dump();
-    const auto log = fmt::format("{}/{}-{}.log", BINARY_DIR, options_.log_name, which);
-    daemons_[static_cast<std::size_t>(which)] =
-        std::make_unique<daemon_process>(file, log, options_.preload);
+    const auto settings_file = fmt::format("{}/d-{}.json", folder_.path().toStdString(), index);
+    std::ofstream{settings_file} << settings_json.dump();
+    const auto log_file = fmt::format("{}/{}-{}.log", BINARY_DIR, options_.log_name, index);
+    daemons_[static_cast<std::size_t>(index)] =
+        std::make_unique<daemon_process>(settings_file, log_file, options_.preload);
 }
 
 void fleet_processes::start_all()
 {
-    for (int which = 0; which < count(); ++which) {
-        start(which, true);
+    for (int index = 0; index < count(); ++index) {
+        start(index, true);
     }
 }
 
 std::optional<int> fleet_processes::leader() const
 {
-    for (int which = 0; which < control_count; ++which) {
-        const auto& at = controls_[static_cast<std::size_t>(which)];
-        if (call(at, "GET", "/cedarpoint/config/get", "", "").head.status == 200) {
-            return which;
+    for (int index = 0; index < control_count; ++index) {
+        const auto& address = controls_[static_cast<std::size_t>(index)];
+        if (call(address, "GET", "/cedarpoint/config/get", "", "").head.status == 200) {
+            return index;
         }
     }
     return {};
 }
 
-bool fleet_processes::put(const std::string& document, std::optional<int> stopped) const
+bool fleet_processes::put(const std::string& document, std::optional<int> suspended) const
 {
     return wait_until([&] {
-        for (int which = 0; which < control_count; ++which) {
-            const auto& at = controls_[static_cast<std::size_t>(which)];
-            if (which != stopped &&
-                call(at, "POST", "/cedarpoint/config/put", "", document).head.status == 200) {
+        for (int index = 0; index < control_count; ++index) {
+            const auto& address = controls_[static_cast<std::size_t>(index)];
+            if (index != suspended &&
+                call(address, "POST", "/cedarpoint/config/put", "", document).head.status == 200) {
                 return true;
             }
         }
@@ -119,8 +120,8 @@
 
 bool fleet_processes::wait_serving(const std::string& target) const
 {
-    const auto all = entries();
-    return std::all_of(all.begin(), all.end(), [&](const endpoint& entry) {
+    const auto addresses = entries();
+    return std::all_of(addresses.begin(), addresses.end(), [&](const endpoint& entry) {
         return wait_until([&] {
             const auto answer = call(entry, "GET", target, "X-Cedarpoint-Request-Id: 0-w\r\n", "");
             return answer.head.status == http_status::ok;
--- a/tests/support/fleet_processes.h
+++ b/tests/support/fleet_processes.h
@@ -32,13 +32,13 @@
 
     explicit fleet_processes(options options);
 
-    /// Starts a daemon. `first`: the whole fleet starts for the first time, with empty data
+    /// Starts a daemon. `first_start`: the whole fleet starts for the first time, with empty data
     /// folders.
-    void start(int which, bool first);
+    void start(int index, bool first_start);
     void start_all();
-    [[nodiscard]] daemon_process& at(int which)
+    [[nodiscard]] daemon_process& at(int index)
     {
-        return *daemons_.at(static_cast<std::size_t>(which));
+        return *daemons_.at(static_cast<std::size_t>(index));
     }
     [[nodiscard]] int count() const { return static_cast<int>(daemons_.size()); }
 
@@ -51,14 +51,14 @@
     /// Returns the number of the leading control daemon; nothing if none leads.
     [[nodiscard]] std::optional<int> leader() const;
     /// Sends a configuration to the control daemons in turn until one accepts it. Returns whether
-    /// one did. `stopped`: a suspended control daemon, which is skipped.
-    [[nodiscard]] bool put(const std::string& document, std::optional<int> stopped = {}) const;
+    /// one did. `suspended`: a suspended control daemon, which is skipped.
+    [[nodiscard]] bool put(const std::string& document, std::optional<int> suspended = {}) const;
 
     /// Waits until each entry daemon serves a GET of `target`. Returns false on a timeout.
     [[nodiscard]] bool wait_serving(const std::string& target) const;
 
 private:
-    [[nodiscard]] std::string ip_of_entry(int which) const;
+    [[nodiscard]] std::string ip_of_entry(int index) const;
 
     options options_;
     QTemporaryDir folder_;
--- a/tests/support/group_invariants.h
+++ b/tests/support/group_invariants.h
@@ -21,18 +21,18 @@
     /// Returns a description of the first violated invariant; empty if there is none.
     std::string check(const group_table& table)
     {
-        std::map<node_id, group_id> held;
+        std::map<node_id, group_id> group_by_node;
         for (const auto& [id, it] : table.records()) {
             groups_.insert(id);
             for (const auto& node : it.nodes) {
                 nodes_.insert(node);
-                if (!held.emplace(node, id).second) {
+                if (!group_by_node.emplace(node, id).second) {
                     return "node " + node.str() + " is in two groups";
                 }
             }
         }
-        if (auto wrong = compare(table, held); !wrong.empty()) {
-            return wrong;
+        if (auto violation = compare(table, group_by_node); !violation.empty()) {
+            return violation;
         }
         // The accessors do not show an index entry whose group has no record. Adding records for
         // all missing groups to a copy of the table would make such entries visible.
@@ -48,21 +48,21 @@
                 probe.assign(std::move(it), {});
             }
         }
-        return compare(probe, held);
+        return compare(probe, group_by_node);
     }
 
 private:
-    /// Compares the index by node with `held`, the group of each node that is in a record.
+    /// Compares the index by node with `group_by_node`, the group of each node that is in a record.
     [[nodiscard]] std::string compare(const group_table& table,
-                                      const std::map<node_id, group_id>& held) const
+                                      const std::map<node_id, group_id>& group_by_node) const
     {
         for (const auto& node : nodes_) {
             const auto* indexed = table.find_by_node(node);
-            const auto found = held.find(node);
-            const bool same = found == held.end()
-                                  ? indexed == nullptr
-                                  : indexed != nullptr && indexed->id == found->second;
-            if (!same) {
+            const auto found = group_by_node.find(node);
+            const bool matches = found == group_by_node.end()
+                                     ? indexed == nullptr
+                                     : indexed != nullptr && indexed->id == found->second;
+            if (!matches) {
                 return "the index by node is wrong for node " + node.str();
             }
         }
--- a/tests/support/memory_files.cpp
+++ b/tests/support/memory_files.cpp
@@ -12,28 +12,28 @@
     return it->second;
 }
 
-void memory_files::fail_write(int n, std::size_t kept)
+void memory_files::fail_write(int n, std::size_t kept_bytes)
 {
-    fail_in_ = n;
-    kept_ = kept;
+    writes_before_failure_ = n;
+    kept_bytes_ = kept_bytes;
 }
 
-bool memory_files::fails(reason& why, const std::string& path)
+bool memory_files::inject_failure(reason& why, const std::string& path)
 {
     ++writes_;
-    if (fail_in_ < 0 || fail_in_-- > 0) {
+    if (writes_before_failure_ < 0 || writes_before_failure_-- > 0) {
         return false;
     }
-    fail_in_ = 0; // a failed disk keeps failing
+    writes_before_failure_ = 0; // a failed disk keeps failing
     why = {"write", path, "the disk has failed"};
     return true;
 }
 
 bool memory_files::append_synced(const std::string& path, const std::string& bytes, reason& why)
 {
-    if (fails(why, path)) {
-        files_[path] += bytes.substr(0, kept_);
-        kept_ = 0;
+    if (inject_failure(why, path)) {
+        files_[path] += bytes.substr(0, kept_bytes_);
+        kept_bytes_ = 0;
         return false;
     }
     files_[path] += bytes;
@@ -42,7 +42,7 @@
 
 bool memory_files::replace(const std::string& path, const std::string& bytes, reason& why)
 {
-    if (fails(why, path)) {
+    if (inject_failure(why, path)) {
         return false;
     }
     files_[path] = bytes;
@@ -51,7 +51,7 @@
 
 bool memory_files::truncate(const std::string& path, std::uint64_t size, reason& why)
 {
-    if (fails(why, path)) {
+    if (inject_failure(why, path)) {
         return false;
     }
     files_[path].resize(size);
--- a/tests/support/memory_files.h
+++ b/tests/support/memory_files.h
@@ -17,19 +17,19 @@
     bool make_folder(const std::string& path, reason& why) override;
 
     /// Makes the write after the next `n` ones fail, and all later ones until `work_again`. If it
-    /// is an append, its first `kept` bytes are written.
-    void fail_write(int n, std::size_t kept);
-    void work_again() { fail_in_ = -1; }
+    /// is an append, its first `kept_bytes` bytes are written.
+    void fail_write(int n, std::size_t kept_bytes);
+    void work_again() { writes_before_failure_ = -1; }
     void wipe() { files_.clear(); }
     std::map<std::string, std::string>& files() { return files_; }
     [[nodiscard]] int writes() const { return writes_; }
 
 private:
-    bool fails(reason& why, const std::string& path);
+    bool inject_failure(reason& why, const std::string& path);
 
     std::map<std::string, std::string> files_;
-    int fail_in_ = -1;
-    std::size_t kept_ = 0;
+    int writes_before_failure_ = -1;
+    std::size_t kept_bytes_ = 0;
     int writes_ = 0;
 };
 
--- a/tests/support/open_loop_callers.h
+++ b/tests/support/open_loop_callers.h
@@ -31,8 +31,8 @@
     };
 
     /// `name` is part of the request ids, after the number of the entry daemon.
-    open_loop_callers(std::vector<endpoint> entries, double per_second, std::string name,
-                      std::function<request(std::size_t)> make);
+    open_loop_callers(std::vector<endpoint> entries, double requests_per_second, std::string name,
+                      std::function<request(std::size_t)> make_request);
 
     void stop() { timer_.stop(); }
     [[nodiscard]] double served_share(instant from, instant until) const;
@@ -41,14 +41,14 @@
 
 private:
     void send_due();
-    void send(std::size_t to);
+    void send(std::size_t entry);
 
     std::vector<endpoint> entries_;
-    double per_second_;
+    double requests_per_second_;
     std::string name_;
-    std::function<request(std::size_t)> make_;
-    instant began_;
-    std::vector<std::size_t> turns_; ///< indices of entry daemons, each repeated by its share
+    std::function<request(std::size_t)> make_request_;
+    instant start_;
+    std::vector<std::size_t> schedule_; ///< indices of entry daemons, each repeated by its share
     runner_pool pool_;
     QTimer timer_;
     std::size_t sent_ = 0;
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -25,7 +25,7 @@
 public:
     /// Requests that were in transit when a runner asked for a pause arrive within this time. After
     /// it the users' rules allow two requests; the product sends none.
-    static constexpr duration under_way = milliseconds{500};
+    static constexpr duration in_transit_time = milliseconds{500};
 
     explicit pausing_runner(platform_runner& runner) : runner_{runner}
     {
@@ -33,15 +33,16 @@
     }
 
     /// Makes the runner reject the next request of entry daemon `sender` with a pause of `time`.
-    void ask(int sender, duration time) { due_[sender] = time; }
-    [[nodiscard]] bool is_due_for(int sender) const { return due_.contains(sender); }
+    void ask(int sender, duration time) { pending_pauses_[sender] = time; }
+    [[nodiscard]] bool is_due_for(int sender) const { return pending_pauses_.contains(sender); }
     [[nodiscard]] bool is_paused_for(int sender) const
     {
-        const auto found = asked_.find(sender);
-        return is_due_for(sender) || (found != asked_.end() && steady_now() < found->second.until);
+        const auto found = active_pauses_.find(sender);
+        return is_due_for(sender) ||
+               (found != active_pauses_.end() && steady_now() < found->second.until);
     }
     /// Drops the pauses of an entry daemon that restarts, since it loses them too.
-    void drop_pauses(int sender) { asked_.erase(sender); }
+    void drop_pauses(int sender) { active_pauses_.erase(sender); }
 
     struct arrival {
         instant at;
@@ -49,11 +50,11 @@
     };
     std::vector<arrival> arrivals; ///< all requests
     int asked = 0;                 ///< number of pauses
-    int within = 0; ///< requests within a pause, later than `under_way` after its start
+    int within = 0; ///< requests within a pause, later than `in_transit_time` after its start
 
 private:
     struct pause {
-        instant at;
+        instant start;
         instant until;
     };
 
@@ -62,36 +63,36 @@
         const auto now = steady_now();
         const int sender = sender_of(request);
         arrivals.push_back({now, sender});
-        if (std::exchange(incarnations_, runner_.ends.size()) != runner_.ends.size()) {
-            asked_.clear(); // a restarted runner has not asked for a pause
+        if (std::exchange(ended_incarnations_, runner_.ends.size()) != runner_.ends.size()) {
+            active_pauses_.clear(); // a restarted runner has not asked for a pause
         }
-        if (const auto due = due_.extract(sender); !due.empty()) {
+        if (const auto pending = pending_pauses_.extract(sender); !pending.empty()) {
             ++asked;
-            asked_[sender] = {now, now + due.mapped()};
-            const auto value = std::chrono::duration<double>(due.mapped()).count();
-            return fmt::format("{:.3f}", value);
+            active_pauses_[sender] = {now, now + pending.mapped()};
+            const auto pause_s = std::chrono::duration<double>(pending.mapped()).count();
+            return fmt::format("{:.3f}", pause_s);
         }
-        const auto found = asked_.find(sender);
-        if (found == asked_.end() || now >= found->second.until) {
+        const auto found = active_pauses_.find(sender);
+        if (found == active_pauses_.end() || now >= found->second.until) {
             return {};
         }
-        within += now - found->second.at >= under_way ? 1 : 0;
-        return answer_within();
+        within += now - found->second.start >= in_transit_time ? 1 : 0;
+        return answer_during_pause();
     }
 
     /// Returns the pause in the answer to a request within a pause: none, a shorter one, or an
     /// invalid value.
-    std::string answer_within()
+    std::string answer_during_pause()
     {
         constexpr std::array<const char*, 6> answers{"", "0.1", "0", "soon", "nan", "-1"};
-        return answers.at(turn_++ % answers.size());
+        return answers.at(next_answer_++ % answers.size());
     }
 
     platform_runner& runner_;
-    std::size_t incarnations_ = 0; ///< incarnations of the runner that have ended
-    std::map<int, duration> due_;
-    std::map<int, pause> asked_;
-    std::size_t turn_ = 0;
+    std::size_t ended_incarnations_ = 0; ///< incarnations of the runner that have ended
+    std::map<int, duration> pending_pauses_;
+    std::map<int, pause> active_pauses_;
+    std::size_t next_answer_ = 0;
 };
 
 } // namespace cedarpoint::testing_support
--- a/tests/support/scenario_file.cpp
+++ b/tests/support/scenario_file.cpp
@@ -34,31 +34,31 @@
 }
 
 void check_scenario(const std::string& path,
-                    const std::function<std::vector<std::string>(const scenario_step&)>& play)
+                    const std::function<std::vector<std::string>(const scenario_step&)>& run_step)
 {
     std::ifstream in{path};
     ASSERT_TRUE(in) << path;
-    std::string wanted;
-    std::string got;
+    std::string expected;
+    std::string actual;
     for (std::string line; std::getline(in, line);) {
-        wanted += line + "\n";
+        expected += line + "\n";
         if (line.starts_with(">")) {
             continue;
         }
-        got += line + "\n";
+        actual += line + "\n";
         if (line.find_first_not_of(' ') == std::string::npos || line.starts_with("#")) {
             continue;
         }
-        for (const auto& it : play(scenario_step{line})) {
-            got += "> " + it + "\n";
+        for (const auto& it : run_step(scenario_step{line})) {
+            actual += "> " + it + "\n";
         }
     }
     const char* mode = std::getenv("GOLDEN");
     if (mode != nullptr && std::string{mode} == "write") {
-        std::ofstream{path} << got;
+        std::ofstream{path} << actual;
         return;
     }
-    EXPECT_EQ(got, wanted) << path;
+    EXPECT_EQ(actual, expected) << path;
 }
 
 std::vector<std::string> list_scenarios(const std::string& folder)
--- a/tests/support/scenario_file.h
+++ b/tests/support/scenario_file.h
@@ -24,11 +24,11 @@
 };
 
 /// Runs the steps of a scenario file and compares their output with it. Lines that begin with '>'
-/// are the expected output of the step above them, '#' begins a comment. `play` returns the output
-/// lines of a step. With GOLDEN=write in the environment the file is rewritten instead; review the
-/// diff.
+/// are the expected output of the step above them, '#' begins a comment. `run_step` returns the
+/// output lines of a step. With GOLDEN=write in the environment the file is rewritten instead;
+/// review the diff.
 void check_scenario(const std::string& path,
-                    const std::function<std::vector<std::string>(const scenario_step&)>& play);
+                    const std::function<std::vector<std::string>(const scenario_step&)>& run_step);
 
 /// Returns the sorted names, without extension, of the scenario files in a folder below tests/.
 std::vector<std::string> list_scenarios(const std::string& folder);
