--- a/tests/soak/control_restart_test.cpp
+++ b/tests/soak/control_restart_test.cpp
@@ -32,19 +32,19 @@
                "service":"shop"}],
     "services":[{"name":"shop"}]})";
 
-struct fleet_kind {
+struct daemon_variant {
     const char* name;
     const char* preload; ///< a library for LD_PRELOAD of each daemon
     int net;             ///< unique per test, since tests run in parallel
 };
 
-class control_daemons_that_restart : public testing::TestWithParam<fleet_kind> {
+class control_daemons_that_restart : public testing::TestWithParam<daemon_variant> {
 protected:
     void SetUp() override
     {
-        for (int which = 0; which < fleet_processes::control_count; ++which) {
-            proxies.push_back(std::make_unique<loopback_proxy>(fleet.mesh_address(which),
-                                                               fleet.bind_address(which)));
+        for (int control = 0; control < fleet_processes::control_count; ++control) {
+            proxies.push_back(std::make_unique<loopback_proxy>(fleet.mesh_address(control),
+                                                               fleet.bind_address(control)));
         }
         fleet.start_all();
         ASSERT_TRUE(wait_until([&] { return fleet.put(document); }));
@@ -60,17 +60,17 @@
 {
     std::mt19937_64 random{number_from_environment("RESTART_SEED", 1)};
     for (std::uint64_t round = 0; round < number_from_environment("RESTARTS", 4); ++round) {
-        for (int which = 0; which < fleet_processes::control_count; ++which) {
-            fleet.at(which).signal(SIGKILL);
+        for (int control = 0; control < fleet_processes::control_count; ++control) {
+            fleet.at(control).signal(SIGKILL);
             pass_time(milliseconds{random() % 3 * (random() % 60)});
         }
-        for (int which = 0; which < fleet_processes::control_count; ++which) {
-            fleet.start(which, false);
+        for (int control = 0; control < fleet_processes::control_count; ++control) {
+            fleet.start(control, false);
             pass_time(milliseconds{random() % 3 * (random() % 200)});
         }
-        const auto began = steady_now();
+        const auto start = steady_now();
         ASSERT_TRUE(wait_until([&] { return fleet.leader().has_value(); })) << "round " << round;
-        ASSERT_LT(steady_now() - began, max_recovery_time) << "round " << round;
+        ASSERT_LT(steady_now() - start, max_recovery_time) << "round " << round;
         // The next kill comes at a random time after the election.
         pass_time(milliseconds{random() % 2 * (random() % 1500)});
     }
@@ -78,10 +78,10 @@
 
 INSTANTIATE_TEST_SUITE_P(
     kinds, control_daemons_that_restart,
-    testing::Values(fleet_kind{"steady", "", 229},
-                    fleet_kind{"suspended_clock", BINARY_DIR "/libsuspended_clock.so", 230},
-                    fleet_kind{"slow_disk", BINARY_DIR "/libslow_disk.so", 231}),
-    [](const auto& each) { return each.param.name; });
+    testing::Values(daemon_variant{"steady", "", 229},
+                    daemon_variant{"suspended_clock", BINARY_DIR "/libsuspended_clock.so", 230},
+                    daemon_variant{"slow_disk", BINARY_DIR "/libslow_disk.so", 231}),
+    [](const auto& it) { return it.param.name; });
 
 } // namespace
 } // namespace cedarpoint
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -3,7 +3,7 @@
 // crashes each runner that runs it. Every second seed simulates suspended machines instead of
 // stopped processes. In every fifth seed runners reject entry daemons with a pause. Manual run:
 //     SOAK_FIRST=100 SOAK_COUNT=50 build/cedarpoint_tests --gtest_filter='*fleet_soak*'
-// Add each seed that fails to `kept_seeds`, with its cause.
+// Add each seed that fails to `regression_seeds`, with its cause.
 
 #include "daemon/site.h"
 #include "fleet/fleet_site.h"
@@ -46,16 +46,16 @@
 constexpr int quarantined_status = 429;
 
 /// Seeds that failed once, each with its cause.
-const std::vector<std::uint64_t> kept_seeds{
+const std::vector<std::uint64_t> regression_seeds{
     150, // once: no leader for 60 s after all control daemons were killed; see docs/RULES-KEPT.md
 };
 
 std::vector<std::uint64_t> seeds()
 {
-    auto out = kept_seeds;
+    auto out = regression_seeds;
     const auto first = number_from_environment("SOAK_FIRST", 1);
-    for (std::uint64_t at = 0; at < number_from_environment("SOAK_COUNT", 2); ++at) {
-        out.push_back(first + at);
+    for (std::uint64_t n = 0; n < number_from_environment("SOAK_COUNT", 2); ++n) {
+        out.push_back(first + n);
     }
     return out;
 }
@@ -78,99 +78,99 @@
 protected:
     fleet_soak() : random{GetParam()}, net{static_cast<int>(GetParam() % 200) + 20}
     {
-        for (int which = 0; which < control_count; ++which) {
-            proxies.push_back(std::make_unique<loopback_proxy>(fleet.mesh_address(which),
-                                                               fleet.bind_address(which)));
+        for (int control = 0; control < control_count; ++control) {
+            proxies.push_back(std::make_unique<loopback_proxy>(fleet.mesh_address(control),
+                                                               fleet.bind_address(control)));
         }
         fleet.start_all();
-        for (int made = 0; made < 4; ++made) {
-            runners.push_back(std::make_unique<platform_runner>(fmt::format("i-{}", made), "pool",
+        for (int n = 0; n < 4; ++n) {
+            runners.push_back(std::make_unique<platform_runner>(fmt::format("i-{}", n), "pool",
                                                                 fleet.controls()));
         }
-        for (int made = 0; made < 2; ++made) {
+        for (int n = 0; n < 2; ++n) {
             runners.push_back(std::make_unique<platform_runner>(
-                fmt::format("s-{}", made), "shop", fleet.controls(), std::uint64_t{1000}));
+                fmt::format("s-{}", n), "shop", fleet.controls(), std::uint64_t{1000}));
             runners.back()->crash_trigger = crashing_body;
             runners.back()->restart_delay = milliseconds{500};
         }
         for (const auto& runner : runners) {
-            pauses.push_back(std::make_unique<pausing_runner>(*runner));
+            pausing_runners.push_back(std::make_unique<pausing_runner>(*runner));
         }
     }
 
     /// Makes one runner reject one entry daemon with a pause. Uses its own random generator, so
     /// that the other random choices of a seed do not change.
-    void ask_for_pause()
+    void request_pause()
     {
-        auto& chosen = *pauses[pause_random() % pauses.size()];
+        auto& runner = *pausing_runners[pause_random() % pausing_runners.size()];
         const auto sender = static_cast<int>(pause_random() % entry_count);
-        chosen.ask(sender, milliseconds{1500 + pause_random() % 2500});
+        runner.ask(sender, milliseconds{1500 + pause_random() % 2500});
     }
 
     void expect_no_request_within_pauses() const
     {
-        for (const auto& each : pauses) {
-            EXPECT_EQ(each->within, 0) << "requests within a pause";
+        for (const auto& it : pausing_runners) {
+            EXPECT_EQ(it->within, 0) << "requests within a pause";
         }
     }
 
     /// Starts the daemon again after it has ended.
-    void restart(int which)
+    void restart(int index)
     {
-        fleet.start(which, false);
-        for (const auto& each : pauses) {
-            each->drop_pauses(which - control_count);
+        fleet.start(index, false);
+        for (const auto& it : pausing_runners) {
+            it->drop_pauses(index - control_count);
         }
     }
 
     std::string inject_fault()
     {
-        const auto which = static_cast<int>(random() % static_cast<unsigned>(fleet.count()));
-        auto& daemon = fleet.at(which);
+        const auto index = static_cast<int>(random() % static_cast<unsigned>(fleet.count()));
+        auto& daemon = fleet.at(index);
         auto& proxy = *proxies[random() % proxies.size()];
         switch (random() % 9) {
         case 0:
             daemon.signal(SIGKILL);
             pass_time(milliseconds{random() % 600});
-            restart(which);
-            return fmt::format("killed {}", which);
+            restart(index);
+            return fmt::format("killed {}", index);
         case 1:
             daemon.signal(SIGSTOP);
             pass_time(milliseconds{300 + random() % 1800});
             daemon.signal(SIGCONT);
-            return fmt::format("paused {}", which);
+            return fmt::format("paused {}", index);
         case 2:
             daemon.signal(SIGTERM);
             wait_until([&] { return !daemon.is_running(); });
-            restart(which);
-            return fmt::format("restarted {}", which);
+            restart(index);
+            return fmt::format("restarted {}", index);
         case 3:
             daemon.signal(SIGHUP);
-            return fmt::format("reloaded {}", which);
+            return fmt::format("reloaded {}", index);
         case 4:
-            proxy.set_silent(true);
+            proxy.set_stalled(true);
             pass_time(milliseconds{500 + random() % 1500});
-            proxy.set_silent(false);
-            proxy.reset_all();
+            proxy.set_stalled(false);
+            proxy.reset_connections();
             return "silenced a proxy";
         case 5:
-            proxy.reset_all();
+            proxy.reset_connections();
             return "reset a proxy";
         case 6:
-            proxy.set_one_way(true);
+            proxy.set_caller_blocked(true);
             pass_time(milliseconds{500 + random() % 1500});
-            proxy.set_one_way(false);
-            proxy.reset_all();
+            proxy.set_caller_blocked(false);
+            proxy.reset_connections();
             return "cut a proxy one way";
         case 7:
             proxy.set_delay(static_cast<int>(random() % 80));
             return "delayed a proxy";
         default:
-            for (int each = 0; each < control_count; ++each) {
-                fleet.at(each).signal(SIGKILL);
+            for (int control = 0; control < control_count; ++control) {
+                fleet.at(control).signal(SIGKILL);
             }
-            for (int each = 0; each < control_count; ++each) {
-                fleet.start(each, false);
+            for (int control = 0; control < control_count; ++control) {
+                fleet.start(control, false);
             }
             return "killed all control daemons";
         }
@@ -179,25 +179,25 @@
     void change_configuration()
     {
         const int version = ++sent_version;
-        const auto& at = fleet.controls()[random() % fleet.controls().size()];
-        const auto answer = call(at, "POST", "/cedarpoint/config/put", "", document(version));
+        const auto& control = fleet.controls()[random() % fleet.controls().size()];
+        const auto answer = call(control, "POST", "/cedarpoint/config/put", "", document(version));
         if (answer.end == exchange_end::complete && answer.head.status == 200) {
-            acknowledged = std::max(acknowledged, version);
+            acknowledged_version = std::max(acknowledged_version, version);
         }
     }
 
     void read_configuration()
     {
-        const int least = acknowledged;
-        for (const auto& at : fleet.controls()) {
-            const auto answer = call(at, "GET", "/cedarpoint/config/get", "", "");
+        const int min_version = acknowledged_version;
+        for (const auto& control : fleet.controls()) {
+            const auto answer = call(control, "GET", "/cedarpoint/config/get", "", "");
             if (answer.end != exchange_end::complete || answer.head.status != 200) {
                 continue;
             }
-            const auto read = nlohmann::json::parse(answer.body, nullptr, false);
-            ASSERT_TRUE(read.is_object()) << answer.body;
-            const int version = read.at("version").get<int>();
-            EXPECT_GE(version, least) << "acknowledged before the read";
+            const auto parsed = nlohmann::json::parse(answer.body, nullptr, false);
+            ASSERT_TRUE(parsed.is_object()) << answer.body;
+            const int version = parsed.at("version").get<int>();
+            EXPECT_GE(version, min_version) << "acknowledged before the read";
             EXPECT_EQ(answer.body, document(version)) << "read back as it was sent";
         }
     }
@@ -206,41 +206,41 @@
     {
         const auto sender = random() % entry_count;
         const auto entry = fleet.entries()[sender];
-        const bool once = random() % 2 == 0;
-        const auto id = fmt::format("{}-r{}", sender, ++requests);
+        const bool unsafe = random() % 2 == 0;
+        const auto id = fmt::format("{}-r{}", sender, ++sent_requests);
         const auto headers = "X-Cedarpoint-Request-Id: " + id +
                              "\r\nX-Cedarpoint-Deadline-Ms: 3000\r\nX-Cedarpoint-Model: small\r\n";
-        const auto served = served_total();
-        const auto answer = call(entry, "POST", once ? "/once/x" : "/ask/x", headers, id);
-        const bool whole = answer.end == exchange_end::complete && answer.head.status == 200;
-        if (whole) {
+        const auto served_before = served_total();
+        const auto answer = call(entry, "POST", unsafe ? "/once/x" : "/ask/x", headers, id);
+        const bool complete = answer.end == exchange_end::complete && answer.head.status == 200;
+        if (complete) {
             EXPECT_EQ(answer.head.fields.get("X-Cedarpoint-Request-Id"), id);
             EXPECT_EQ(answer.body,
-                      once ? "plain " + id
-                           : "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token "
-                             "3\n\n");
+                      unsafe ? "plain " + id
+                             : "id: 1\ndata: token 1\n\nid: 2\ndata: token 2\n\nid: 3\ndata: token "
+                               "3\n\n");
         }
-        if (once) {
-            EXPECT_LE(served_total() - served, 1) << id << " ran more than once";
+        if (unsafe) {
+            EXPECT_LE(served_total() - served_before, 1) << id << " ran more than once";
         }
         EXPECT_NE(answer.head.status, quarantined_status) << "a sound request";
-        const bool refused = answer.end == exchange_end::complete &&
-                             (answer.head.status == 503 || answer.head.status == 429);
-        if (once && refused) {
-            EXPECT_EQ(served_total(), served) << id << " was refused and ran";
+        const bool rejected = answer.end == exchange_end::complete &&
+                              (answer.head.status == 503 || answer.head.status == 429);
+        if (unsafe && rejected) {
+            EXPECT_EQ(served_total(), served_before) << id << " was refused and ran";
         }
-        return whole;
+        return complete;
     }
 
     /// Sends the crashing request and returns the status. Uses no random numbers, so that the
     /// random choices of a seed do not change.
     int send_crashing_request()
     {
-        const int sender = ++crashing_sent % entry_count;
+        const int sender = ++sent_crashing_requests % entry_count;
         const auto entry = fleet.entries()[static_cast<std::size_t>(sender)];
         const auto headers = fmt::format("X-Cedarpoint-Request-Id: {}-c{}\r\n"
                                          "X-Cedarpoint-Deadline-Ms: 2000\r\n",
-                                         sender, crashing_sent);
+                                         sender, sent_crashing_requests);
         return call(entry, "POST", "/once/x", headers, crashing_body).head.status;
     }
 
@@ -250,7 +250,7 @@
         for (const auto& runner : runners) {
             out += static_cast<std::size_t>(
                 std::count_if(runner->arrivals.begin(), runner->arrivals.end(),
-                              [](const auto& each) { return each.body == crashing_body; }));
+                              [](const auto& arrival) { return arrival.body == crashing_body; }));
         }
         return out;
     }
@@ -259,15 +259,17 @@
     void expect_quarantine(const std::string& fault_history)
     {
         pass_time(milliseconds{std::chrono::duration_cast<milliseconds>(contact_time)});
-        const auto before = crashing_arrivals();
-        const auto allowed = max_crashed_runners +
-                             (before >= max_crashed_runners ? 0 : max_crashed_runners - before);
+        const auto arrivals_before = crashing_arrivals();
+        const auto max_arrivals =
+            max_crashed_runners +
+            (arrivals_before >= max_crashed_runners ? 0 : max_crashed_runners - arrivals_before);
         ASSERT_TRUE(wait_until([&] { return send_crashing_request() == quarantined_status; }))
             << fault_history;
-        for (int again = 0; again < 10; ++again) {
+        for (int n = 0; n < 10; ++n) {
             EXPECT_EQ(send_crashing_request(), quarantined_status) << fault_history;
         }
-        EXPECT_LE(crashing_arrivals() - before, allowed) << fault_history << before << " before";
+        EXPECT_LE(crashing_arrivals() - arrivals_before, max_arrivals)
+            << fault_history << arrivals_before << " before";
     }
 
     [[nodiscard]] int served_total() const
@@ -288,25 +290,25 @@
                            GetParam() % 2 == 1 ? BINARY_DIR "/libsuspended_clock.so" : ""}};
     std::vector<std::unique_ptr<loopback_proxy>> proxies;
     std::vector<std::unique_ptr<platform_runner>> runners;
-    std::vector<std::unique_ptr<pausing_runner>> pauses;
+    std::vector<std::unique_ptr<pausing_runner>> pausing_runners;
     int sent_version = 0;
-    int acknowledged = 0;
-    int requests = 0;
-    int crashing_sent = 0;
+    int acknowledged_version = 0;
+    int sent_requests = 0;
+    int sent_crashing_requests = 0;
 };
 
 TEST_P(fleet_soak, keeps_its_promises_under_signals_and_cuts)
 {
     ASSERT_TRUE(wait_until([&] {
         change_configuration();
-        return acknowledged > 0;
+        return acknowledged_version > 0;
     }));
     std::string fault_history;
     for (int round = 0; round < rounds; ++round) {
         fault_history += inject_fault() + "; ";
         SCOPED_TRACE(fault_history);
         if (has_pauses) {
-            ask_for_pause();
+            request_pause();
         }
         change_configuration();
         read_configuration();
@@ -321,14 +323,14 @@
     for (const auto& proxy : proxies) {
         proxy->set_delay(0);
     }
-    const auto calm = steady_now();
+    const auto faults_ended = steady_now();
     ASSERT_TRUE(wait_until([&] { return send_request(); }))
         << "seed " << GetParam() << ": " << fault_history;
-    EXPECT_LT(steady_now() - calm, seconds{12});
-    const int before = acknowledged;
+    EXPECT_LT(steady_now() - faults_ended, seconds{12});
+    const int version_before = acknowledged_version;
     ASSERT_TRUE(wait_until([&] {
         change_configuration();
-        return acknowledged > before;
+        return acknowledged_version > version_before;
     }));
     read_configuration();
     if (has_crashing_request) {
--- a/tests/soak/loopback_proxy.cpp
+++ b/tests/soak/loopback_proxy.cpp
@@ -7,65 +7,67 @@
 namespace cedarpoint::testing_support {
 
 /// One connection through the proxy.
-struct loopback_proxy::link {
-    QTcpSocket* caller = nullptr;
-    QTcpSocket callee;
+struct loopback_proxy::connection {
+    QTcpSocket* caller_socket = nullptr;
+    QTcpSocket target_socket;
 };
 
-loopback_proxy::loopback_proxy(const endpoint& from, endpoint to) : to_{std::move(to)}
+loopback_proxy::loopback_proxy(const endpoint& source, endpoint target)
+    : target_address_{std::move(target)}
 {
-    server_.listen(QHostAddress{QString::fromStdString(from.ip)}, from.port);
+    server_.listen(QHostAddress{QString::fromStdString(source.ip)}, source.port);
     QObject::connect(&server_, &QTcpServer::newConnection, [this] { accept(); });
 }
 
 loopback_proxy::~loopback_proxy()
 {
-    for (const auto& each : links_) {
-        each->caller->disconnect();
-        each->callee.disconnect();
+    for (const auto& it : connections_) {
+        it->caller_socket->disconnect();
+        it->target_socket.disconnect();
     }
 }
 
 void loopback_proxy::accept()
 {
-    const auto each = std::make_shared<link>();
-    each->caller = server_.nextPendingConnection();
-    const std::weak_ptr<link> weak = each;
-    const auto on_both = [this, weak](QTcpSocket& socket, bool from_caller) {
-        QObject::connect(&socket, &QTcpSocket::readyRead, [this, weak, from_caller] {
-            if (const auto open = weak.lock()) {
-                pass(open, from_caller);
+    const auto accepted = std::make_shared<connection>();
+    accepted->caller_socket = server_.nextPendingConnection();
+    const std::weak_ptr<connection> weak_connection = accepted;
+    const auto connect_signals = [this, weak_connection](QTcpSocket& socket, bool from_caller) {
+        QObject::connect(&socket, &QTcpSocket::readyRead, [this, weak_connection, from_caller] {
+            if (const auto it = weak_connection.lock()) {
+                relay(it, from_caller);
             }
         });
-        QObject::connect(&socket, &QTcpSocket::disconnected, [weak, from_caller] {
-            if (const auto open = weak.lock()) {
-                (from_caller ? open->callee : *open->caller).disconnectFromHost();
+        QObject::connect(&socket, &QTcpSocket::disconnected, [weak_connection, from_caller] {
+            if (const auto it = weak_connection.lock()) {
+                (from_caller ? it->target_socket : *it->caller_socket).disconnectFromHost();
             }
         });
     };
-    on_both(*each->caller, true);
-    on_both(each->callee, false);
-    QObject::connect(&each->callee, &QTcpSocket::connected, [this, weak] {
-        if (const auto open = weak.lock()) {
-            pass(open, true);
+    connect_signals(*accepted->caller_socket, true);
+    connect_signals(accepted->target_socket, false);
+    QObject::connect(&accepted->target_socket, &QTcpSocket::connected, [this, weak_connection] {
+        if (const auto it = weak_connection.lock()) {
+            relay(it, true);
         }
     });
-    QObject::connect(&each->callee, &QTcpSocket::errorOccurred, [weak] {
-        if (const auto open = weak.lock()) {
-            open->caller->abort();
+    QObject::connect(&accepted->target_socket, &QTcpSocket::errorOccurred, [weak_connection] {
+        if (const auto it = weak_connection.lock()) {
+            it->caller_socket->abort();
         }
     });
-    each->callee.connectToHost(QHostAddress{QString::fromStdString(to_.ip)}, to_.port);
-    links_.push_back(each);
+    accepted->target_socket.connectToHost(QHostAddress{QString::fromStdString(target_address_.ip)},
+                                          target_address_.port);
+    connections_.push_back(accepted);
 }
 
-void loopback_proxy::pass(const std::shared_ptr<link>& each, bool from_caller)
+void loopback_proxy::relay(const std::shared_ptr<connection>& it, bool from_caller)
 {
-    if (silent_ || (one_way_ && from_caller)) {
+    if (stalled_ || (caller_blocked_ && from_caller)) {
         return;
     }
-    auto& from = from_caller ? *each->caller : each->callee;
-    auto& to = from_caller ? each->callee : *each->caller;
+    auto& from = from_caller ? *it->caller_socket : it->target_socket;
+    auto& to = from_caller ? it->target_socket : *it->caller_socket;
     if (to.state() != QAbstractSocket::ConnectedState) {
         return;
     }
@@ -80,26 +82,26 @@
     QTimer::singleShot(delay_ms_, &to, [&to, bytes] { to.write(bytes); });
 }
 
-void loopback_proxy::set_silent(bool silent)
+void loopback_proxy::set_stalled(bool stalled)
 {
-    silent_ = silent;
-    for (const auto& each : std::vector(links_)) {
-        pass(each, true);
-        pass(each, false);
+    stalled_ = stalled;
+    for (const auto& it : std::vector(connections_)) {
+        relay(it, true);
+        relay(it, false);
     }
 }
 
-void loopback_proxy::reset_all()
+void loopback_proxy::reset_connections()
 {
-    for (const auto& each : std::exchange(links_, {})) {
-        for (auto* socket : {each->caller, &each->callee}) {
+    for (const auto& it : std::exchange(connections_, {})) {
+        for (auto* socket : {it->caller_socket, &it->target_socket}) {
             socket->disconnect();
-            const linger at_once{1, 0};
+            const linger zero_linger{1, 0};
             ::setsockopt(static_cast<int>(socket->socketDescriptor()), SOL_SOCKET, SO_LINGER,
-                         &at_once, sizeof at_once);
+                         &zero_linger, sizeof zero_linger);
             socket->abort();
         }
-        each->caller->deleteLater();
+        it->caller_socket->deleteLater();
     }
 }
 
--- a/tests/soak/slow_disk.cpp
+++ b/tests/soak/slow_disk.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr long sync_time_ns = 600'000'000;
+constexpr long sync_delay_ns = 600'000'000;
 
-void wait_for_disk()
+void delay_sync()
 {
-    const timespec time{0, sync_time_ns};
-    ::nanosleep(&time, nullptr);
+    const timespec delay{0, sync_delay_ns};
+    ::nanosleep(&delay, nullptr);
 }
 
 } // namespace
 
-extern "C" int fsync(int descriptor)
+extern "C" int fsync(int fd)
 {
-    wait_for_disk();
-    return static_cast<int>(::syscall(SYS_fsync, descriptor));
+    delay_sync();
+    return static_cast<int>(::syscall(SYS_fsync, fd));
 }
 
-extern "C" int fdatasync(int descriptor)
+extern "C" int fdatasync(int fd)
 {
-    wait_for_disk();
-    return static_cast<int>(::syscall(SYS_fdatasync, descriptor));
+    delay_sync();
+    return static_cast<int>(::syscall(SYS_fdatasync, fd));
 }
