--- a/tests/suspension/suspended_clock.cpp
+++ b/tests/suspension/suspended_clock.cpp
@@ -13,43 +13,43 @@
 constexpr std::int64_t ns_per_second = 1'000'000'000;
 
 std::atomic<std::int64_t> suspended_ns{0};
-std::atomic<std::int64_t> latest_ns{0}; ///< CLOCK_MONOTONIC at the latest reading of a clock
+std::atomic<std::int64_t> last_reading_ns{0}; ///< CLOCK_MONOTONIC at the latest reading of a clock
 
-std::int64_t read_real(clockid_t which)
+std::int64_t read_system_clock(clockid_t clock_id)
 {
     timespec it{};
-    ::syscall(SYS_clock_gettime, which, &it);
+    ::syscall(SYS_clock_gettime, clock_id, &it);
     return it.tv_sec * ns_per_second + it.tv_nsec;
 }
 
 void on_continue(int /*signal*/)
 {
-    const auto now = read_real(CLOCK_MONOTONIC);
-    suspended_ns += now - latest_ns.exchange(now);
+    const auto now = read_system_clock(CLOCK_MONOTONIC);
+    suspended_ns += now - last_reading_ns.exchange(now);
 }
 
-[[gnu::constructor]] void begin()
+[[gnu::constructor]] void install_handler()
 {
-    latest_ns = read_real(CLOCK_MONOTONIC);
+    last_reading_ns = read_system_clock(CLOCK_MONOTONIC);
     struct sigaction action {};
     action.sa_handler = on_continue;
     action.sa_flags = SA_RESTART;
     ::sigaction(SIGCONT, &action, nullptr);
 }
 
-bool counts_no_suspension(clockid_t which)
+bool excludes_suspension(clockid_t clock_id)
 {
-    return which == CLOCK_MONOTONIC || which == CLOCK_MONOTONIC_RAW ||
-           which == CLOCK_MONOTONIC_COARSE;
+    return clock_id == CLOCK_MONOTONIC || clock_id == CLOCK_MONOTONIC_RAW ||
+           clock_id == CLOCK_MONOTONIC_COARSE;
 }
 
 } // namespace
 
-extern "C" int clock_gettime(clockid_t which, timespec* out)
+extern "C" int clock_gettime(clockid_t clock_id, timespec* out)
 {
-    auto now = read_real(which);
-    if (counts_no_suspension(which)) {
-        latest_ns = read_real(CLOCK_MONOTONIC);
+    auto now = read_system_clock(clock_id);
+    if (excludes_suspension(clock_id)) {
+        last_reading_ns = read_system_clock(CLOCK_MONOTONIC);
         now -= suspended_ns;
     }
     out->tv_sec = now / ns_per_second;
--- a/tests/suspension/suspended_fleet_test.cpp
+++ b/tests/suspension/suspended_fleet_test.cpp
@@ -42,27 +42,27 @@
     void SetUp() override
     {
         fleet.start_all();
-        for (int made = 0; made < 2; ++made) {
-            runners.push_back(std::make_unique<platform_runner>(fmt::format("s-{}", made), "shop",
+        for (int n = 0; n < 2; ++n) {
+            runners.push_back(std::make_unique<platform_runner>(fmt::format("s-{}", n), "shop",
                                                                 fleet.controls()));
         }
         ASSERT_TRUE(fleet.put(document(1)));
         ASSERT_TRUE(fleet.wait_serving("/safe/x"));
     }
 
-    static int ask(const endpoint& entry)
+    static int get_status(const endpoint& entry)
     {
         return call(entry, "GET", "/safe/x", "X-Cedarpoint-Request-Id: w\r\n", "").head.status;
     }
 
     void suspend(const std::vector<int>& daemons, duration time)
     {
-        for (const int which : daemons) {
-            fleet.at(which).signal(SIGSTOP);
+        for (const int index : daemons) {
+            fleet.at(index).signal(SIGSTOP);
         }
         pass_time(time);
-        for (const int which : daemons) {
-            fleet.at(which).signal(SIGCONT);
+        for (const int index : daemons) {
+            fleet.at(index).signal(SIGCONT);
         }
     }
 
@@ -91,11 +91,11 @@
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
         constexpr int first_net = 244;
-        constexpr std::array<std::string_view, 6> tests{"answers", "reads", "serves",
-                                                        "ends",    "sends", "counts"};
-        const auto own = std::find_if(tests.begin(), tests.end(),
-                                      [&](auto each) { return name.starts_with(each); });
-        return first_net + static_cast<int>(own - tests.begin());
+        constexpr std::array<std::string_view, 6> name_prefixes{"answers", "reads", "serves",
+                                                                "ends",    "sends", "counts"};
+        const auto position = std::find_if(name_prefixes.begin(), name_prefixes.end(),
+                                           [&](auto prefix) { return name.starts_with(prefix); });
+        return first_net + static_cast<int>(position - name_prefixes.begin());
     }
 
     int net = net_of_this_test();
@@ -114,9 +114,9 @@
                 "X-Cedarpoint-Deadline-Ms: 2000\r\n\r\n");
     pass_time(milliseconds{300});
     suspend({first_entry}, seconds{3});
-    const auto woken = steady_now();
+    const auto resumed = steady_now();
     ASSERT_TRUE(caller.wait_for("HTTP/1.1 504"));
-    EXPECT_LT(steady_now() - woken, milliseconds{300});
+    EXPECT_LT(steady_now() - resumed, milliseconds{300});
 }
 
 TEST_F(a_suspended_fleet, reads_no_old_configuration_after_its_leader_was_suspended)
@@ -128,9 +128,9 @@
         pass_time(milliseconds{100});
         ASSERT_TRUE(fleet.put(document(round + 2), leader)) << "by the others";
         fleet.at(*leader).signal(SIGCONT);
-        const auto& at = fleet.controls()[static_cast<std::size_t>(*leader)];
-        for (int reads = 0; reads < 50; ++reads) {
-            const int version = version_at(at);
+        const auto& control = fleet.controls()[static_cast<std::size_t>(*leader)];
+        for (int n = 0; n < 50; ++n) {
+            const int version = version_at(control);
             EXPECT_TRUE(version == 0 || version >= round + 2) << version;
         }
     }
@@ -146,9 +146,9 @@
     suspend({0, 1}, seconds{4});
     ASSERT_TRUE(fleet.put(document(3)));
     suspend({first_entry, first_entry + 1}, seconds{4});
-    const auto woken = steady_now();
+    const auto resumed = steady_now();
     pass_time(seconds{4});
-    EXPECT_GT(callers.served_share(woken + seconds{2}, woken + seconds{4}), 0.99);
+    EXPECT_GT(callers.served_share(resumed + seconds{2}, resumed + seconds{4}), 0.99);
     EXPECT_EQ(version_at(fleet.controls()[static_cast<std::size_t>(*fleet.leader())]), 3);
 }
 
@@ -169,9 +169,9 @@
     for (int n = caller_count / 2; n < caller_count; ++n) {
         callers.push_back(std::make_unique<raw_caller>(fleet.entries()[0]));
     }
-    for (const auto& each : callers) {
-        each->send("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nX-Cedarpoint-Request-Id: late\r\n"
-                   "X-Cedarpoint-Deadline-Ms: 500\r\n\r\n");
+    for (const auto& caller : callers) {
+        caller->send("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nX-Cedarpoint-Request-Id: late\r\n"
+                     "X-Cedarpoint-Deadline-Ms: 500\r\n\r\n");
     }
     pass_time(milliseconds{600});
     callers.clear();
@@ -179,7 +179,7 @@
     fleet.at(first_entry).signal(SIGCONT);
     pass_time(seconds{1});
     EXPECT_EQ(arrivals(), arrivals_before);
-    EXPECT_EQ(ask(fleet.entries()[0]), 200);
+    EXPECT_EQ(get_status(fleet.entries()[0]), 200);
 }
 
 TEST_F(a_suspended_fleet, counts_a_deadline_from_when_the_request_came)
@@ -196,26 +196,26 @@
     for (const auto& runner : runners) {
         runner->answer_time = seconds{30};
     }
-    const auto before = arrivals();
-    const auto woken = steady_now();
+    const auto arrivals_before = arrivals();
+    const auto resumed = steady_now();
     fleet.at(first_entry).signal(SIGCONT);
     ASSERT_TRUE(expired.wait_for("HTTP/1.1 503")) << "it has not run";
-    EXPECT_LT(steady_now() - woken, milliseconds{300});
+    EXPECT_LT(steady_now() - resumed, milliseconds{300});
     ASSERT_TRUE(waiting.wait_for("HTTP/1.1 504"));
-    EXPECT_LT(steady_now() - woken, milliseconds{2300});
-    EXPECT_EQ(arrivals(), before + 1);
+    EXPECT_LT(steady_now() - resumed, milliseconds{2300});
+    EXPECT_EQ(arrivals(), arrivals_before + 1);
 }
 
 TEST_F(a_suspended_fleet, ends_a_planned_stop_in_time_if_it_was_suspended_in_its_midst)
 {
     auto& entry = fleet.at(first_entry);
-    const auto began = steady_now();
+    const auto start = steady_now();
     entry.signal(SIGTERM);
     pass_time(milliseconds{500});
     suspend({first_entry}, seconds{5});
     ASSERT_TRUE(wait_until([&] { return !entry.is_running(); }));
-    EXPECT_LT(steady_now() - began, seconds{8}) << "the stop bound";
-    EXPECT_EQ(ask(fleet.entries()[1]), 200);
+    EXPECT_LT(steady_now() - start, seconds{8}) << "the stop bound";
+    EXPECT_EQ(get_status(fleet.entries()[1]), 200);
 }
 
 } // namespace
