--- a/tests/daemon/at_most_once_test.cpp
+++ b/tests/daemon/at_most_once_test.cpp
@@ -15,9 +15,9 @@
 /// Accepts connections, counts complete requests, and closes the connection at a chosen moment.
 class closing_server {
 public:
-    enum class when { before_reading, after_reading, in_the_head, in_the_body };
+    enum class close_point { before_reading, after_reading, in_head, in_body };
 
-    explicit closing_server(when moment) : moment_{moment}
+    explicit closing_server(close_point point) : close_point_{point}
     {
         server_.listen(QHostAddress::LocalHost);
         QObject::connect(&server_, &QTcpServer::newConnection, [this] { accept(); });
@@ -32,7 +32,7 @@
     {
         auto* socket = server_.nextPendingConnection();
         ++connections_;
-        if (moment_ == when::before_reading) {
+        if (close_point_ == close_point::before_reading) {
             socket->abort();
             socket->deleteLater();
             return;
@@ -42,10 +42,10 @@
                 return;
             }
             ++requests_;
-            if (moment_ == when::in_the_head) {
+            if (close_point_ == close_point::in_head) {
                 socket->write("HTTP/1.1 200 OK\r\nContent-");
             }
-            else if (moment_ == when::in_the_body) {
+            else if (close_point_ == close_point::in_body) {
                 socket->write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
             }
             socket->disconnectFromHost();
@@ -53,38 +53,39 @@
         QObject::connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
     }
 
-    when moment_;
+    close_point close_point_;
     QTcpServer server_;
     int requests_ = 0;
     int connections_ = 0;
 };
 
 /// Replaces the address of the site's shop service.
-void use_shop(site& at, const endpoint& address)
+void set_shop_address(site& fixture, const endpoint& address)
 {
-    auto text = at.file(1, "other-shop", 1);
-    const auto old = at.shop().address().str();
-    text.replace(text.find(old), old.size(), address.str());
-    ASSERT_TRUE(at.apply(text));
-    ASSERT_TRUE(
-        wait_until([&] { return at.it().requests().config()->change.str() == "other-shop"; }));
+    auto text = fixture.declarative_file(1, "other-shop", 1);
+    const auto old_address = fixture.shop().address().str();
+    text.replace(text.find(old_address), old_address.size(), address.str());
+    ASSERT_TRUE(fixture.apply(text));
+    ASSERT_TRUE(wait_until([&] {
+        return fixture.running_daemon().requests().config()->change.str() == "other-shop";
+    }));
 }
 
 TEST(a_runner_that_closes, gets_a_not_repeatable_request_once_at_every_stage)
 {
-    using when = closing_server::when;
-    for (const auto moment :
-         {when::before_reading, when::after_reading, when::in_the_head, when::in_the_body}) {
+    using close_point = closing_server::close_point;
+    for (const auto point : {close_point::before_reading, close_point::after_reading,
+                             close_point::in_head, close_point::in_body}) {
         for (const auto* method : {"GET", "POST"}) {
-            site at{{}};
-            closing_server shop{moment};
-            use_shop(at, shop.address());
-            raw_caller caller{at.callers()};
+            site fixture{{}};
+            closing_server shop{point};
+            set_shop_address(fixture, shop.address());
+            raw_caller caller{fixture.callers()};
             caller.send(
                 plain_request(method, "/shop/buy", "Cedarpoint-Not-Repeatable: true\r\n", ""));
             ASSERT_TRUE(caller.wait_for("\"ran\":\"may have run\""))
-                << method << static_cast<int>(moment) << caller.received();
-            EXPECT_EQ(shop.connections(), 1) << method << static_cast<int>(moment);
+                << method << static_cast<int>(point) << caller.received();
+            EXPECT_EQ(shop.connections(), 1) << method << static_cast<int>(point);
             EXPECT_LE(shop.requests(), 1);
             // The caller's connection remains usable.
             caller.send(plain_request("GET", "/v1/models", "", ""));
@@ -95,25 +96,25 @@
 
 TEST(a_service_post, is_not_repeated_unless_it_was_not_run)
 {
-    site at{{}};
-    at.shop().fail_next(fault_stage::after_request, 1);
-    raw_caller caller{at.callers()};
+    site fixture{{}};
+    fixture.shop().fail_next(fault_stage::after_request, 1);
+    raw_caller caller{fixture.callers()};
     caller.send(plain_request("POST", "/shop/buy", "", "one pot"));
     ASSERT_TRUE(caller.wait_for("\"ran\":\"may have run\""));
-    EXPECT_EQ(at.arrivals("one pot"), 1);
+    EXPECT_EQ(fixture.arrivals("one pot"), 1);
 }
 
 TEST(an_unreachable_runner, leaves_the_request_not_run)
 {
-    site at{{}};
-    endpoint gone;
+    site fixture{{}};
+    endpoint unused_address;
     {
         QTcpServer server;
         server.listen(QHostAddress::LocalHost);
-        gone = {"127.0.0.1", server.serverPort()};
+        unused_address = {"127.0.0.1", server.serverPort()};
     }
-    use_shop(at, gone);
-    raw_caller caller{at.callers()};
+    set_shop_address(fixture, unused_address);
+    raw_caller caller{fixture.callers()};
     caller.send(plain_request("POST", "/shop/buy", "", "one pot"));
     ASSERT_TRUE(caller.wait_for("\"ran\":\"not run\""));
     EXPECT_NE(caller.received().find("Retry-After"), std::string::npos);
@@ -121,56 +122,57 @@
 
 TEST(a_claimed_key, runs_once_and_is_reported_as_run_after_a_restart)
 {
-    site at{{}};
+    site fixture{{}};
     const std::string headers = "Idempotency-Key: order-17\r\n";
-    raw_caller first{at.callers()};
+    raw_caller first{fixture.callers()};
     first.send(plain_request("POST", "/shop/buy", headers, "one pot"));
     ASSERT_TRUE(first.wait_for("\"run\":1"));
 
-    raw_caller again{at.callers()};
-    again.send(plain_request("POST", "/shop/buy", headers, "one pot"));
-    ASSERT_TRUE(again.wait_for("already_ran"));
+    raw_caller repeated{fixture.callers()};
+    repeated.send(plain_request("POST", "/shop/buy", headers, "one pot"));
+    ASSERT_TRUE(repeated.wait_for("already_ran"));
 
-    at.restart();
-    raw_caller later{at.callers()};
-    later.send(plain_request("POST", "/shop/buy", headers, "one pot"));
-    ASSERT_TRUE(later.wait_for("already_ran"));
-    EXPECT_NE(later.received().find("\"ran\":\"ran\""), std::string::npos);
-    EXPECT_EQ(at.arrivals("one pot"), 1);
+    fixture.restart();
+    raw_caller after_restart{fixture.callers()};
+    after_restart.send(plain_request("POST", "/shop/buy", headers, "one pot"));
+    ASSERT_TRUE(after_restart.wait_for("already_ran"));
+    EXPECT_NE(after_restart.received().find("\"ran\":\"ran\""), std::string::npos);
+    EXPECT_EQ(fixture.arrivals("one pot"), 1);
 }
 
 TEST(a_claimed_key, whose_daemon_restarted_during_the_run_may_have_run)
 {
-    site at{{}};
-    ASSERT_TRUE(at.wait_serving());
-    const ask call{.tokens = 100'000,
-                   .headers = "Idempotency-Key: note-4\r\nCedarpoint-Not-Repeatable: true\r\n"};
-    raw_caller first{at.callers()};
-    first.send(chat_request(call));
+    site fixture{{}};
+    ASSERT_TRUE(fixture.wait_serving());
+    const chat_options options{
+        .tokens = 100'000,
+        .headers = "Idempotency-Key: note-4\r\nCedarpoint-Not-Repeatable: true\r\n"};
+    raw_caller first{fixture.callers()};
+    first.send(chat_request(options));
     ASSERT_TRUE(first.wait_for("t3 "));
-    at.restart(); // not a planned stop, so the end of the claim is not reported
-    raw_caller again{at.callers()};
-    again.send(chat_request(call));
-    ASSERT_TRUE(again.wait_for("\"ran\":\"may have run\""));
-    EXPECT_EQ(at.arrivals("why"), 1);
+    fixture.restart(); // not a planned stop, so the end of the claim is not reported
+    raw_caller repeated{fixture.callers()};
+    repeated.send(chat_request(options));
+    ASSERT_TRUE(repeated.wait_for("\"ran\":\"may have run\""));
+    EXPECT_EQ(fixture.arrivals("why"), 1);
 }
 
 TEST(two_callers_with_one_key, get_one_run)
 {
-    site at{{}};
-    ASSERT_TRUE(at.wait_serving());
-    const ask call{.tokens = 40,
-                   .headers = "Idempotency-Key: note-5\r\nCedarpoint-Not-Repeatable: true\r\n"};
-    raw_caller first{at.callers()};
-    raw_caller second{at.callers()};
-    first.send(chat_request(call));
-    second.send(chat_request(call));
+    site fixture{{}};
+    ASSERT_TRUE(fixture.wait_serving());
+    const chat_options options{
+        .tokens = 40, .headers = "Idempotency-Key: note-5\r\nCedarpoint-Not-Repeatable: true\r\n"};
+    raw_caller first{fixture.callers()};
+    raw_caller second{fixture.callers()};
+    first.send(chat_request(options));
+    second.send(chat_request(options));
     ASSERT_TRUE(first.wait_for("\r\n\r\n"));
     ASSERT_TRUE(second.wait_for("\r\n\r\n"));
     const bool first_ran = status_of(first.received()) == 200;
     EXPECT_EQ(status_of(first.received()) + status_of(second.received()), 200 + 409);
     ASSERT_TRUE((first_ran ? first : second).wait_for("[DONE]"));
-    EXPECT_EQ(at.arrivals("why"), 1);
+    EXPECT_EQ(fixture.arrivals("why"), 1);
 }
 
 } // namespace
--- a/tests/daemon/command_line_test.cpp
+++ b/tests/daemon/command_line_test.cpp
@@ -16,12 +16,12 @@
 
 using namespace testing_support;
 
-struct outcome {
-    int code = -1;
-    std::string text; ///< standard output and standard error
+struct process_result {
+    int exit_code = -1;
+    std::string output; ///< standard output and standard error
 };
 
-outcome run(const QStringList& arguments)
+process_result run_command(const QStringList& arguments)
 {
     QProcess it;
     it.setProcessChannelMode(QProcess::MergedChannels);
@@ -38,18 +38,19 @@
         std::ofstream{path} << text;
         return QString::fromStdString(path);
     };
-    const auto good = write("good.json", R"({"role": "entry", "name": "e", "failure_domain": "z",
+    const auto valid = write("good.json", R"({"role": "entry", "name": "e", "failure_domain": "z",
         "address": "10.0.0.1:7000", "callers": "10.0.0.1:80", "ready": "10.0.0.1:81",
         "seeds": ["10.0.0.9:90"], "retry_budget": {"ratio": 0.2}})");
-    EXPECT_EQ(run({"check", good}).code, 0);
-    const auto bad = write("bad.json", R"({"role": "control", "name": "c", "failure_domain": "z",
+    EXPECT_EQ(run_command({"check", valid}).exit_code, 0);
+    const auto invalid =
+        write("bad.json", R"({"role": "control", "name": "c", "failure_domain": "z",
         "address": "somewhere", "control": "10.0.0.1:80", "seeds": [], "odd": 1})");
-    const auto out = run({"check", bad});
-    EXPECT_EQ(out.code, 2);
-    for (const auto* fault : {"/address", "/data_folder", "/seeds", "/odd"}) {
-        EXPECT_NE(out.text.find(fault), std::string::npos) << fault;
+    const auto out = run_command({"check", invalid});
+    EXPECT_EQ(out.exit_code, 2);
+    for (const auto* pointer : {"/address", "/data_folder", "/seeds", "/odd"}) {
+        EXPECT_NE(out.output.find(pointer), std::string::npos) << pointer;
     }
-    EXPECT_EQ(run({"fleet", "--settings", bad}).code, 2);
+    EXPECT_EQ(run_command({"fleet", "--settings", invalid}).exit_code, 2);
 }
 
 TEST(the_command_line, ends_serve_on_a_hangup)
@@ -68,56 +69,62 @@
     QProcess process;
     process.setProcessChannelMode(QProcess::MergedChannels);
     process.start(BINARY_DIR "/cedarpoint", {"serve", "--settings", QString::fromStdString(path)});
-    std::string text;
+    std::string output;
     ASSERT_TRUE(wait_until([&] {
-        text += process.readAll().toStdString();
-        return text.find("event=in_force") != std::string::npos ||
-               text.find("event=started") != std::string::npos;
-    })) << text;
-    bool passed = false;
-    QTimer::singleShot(500, [&] { passed = true; });
-    ASSERT_TRUE(wait_until([&] { return passed; }));
+        output += process.readAll().toStdString();
+        return output.find("event=in_force") != std::string::npos ||
+               output.find("event=started") != std::string::npos;
+    })) << output;
+    bool elapsed = false;
+    QTimer::singleShot(500, [&] { elapsed = true; });
+    ASSERT_TRUE(wait_until([&] { return elapsed; }));
     ::kill(static_cast<pid_t>(process.processId()), SIGHUP);
     EXPECT_TRUE(wait_until([&] { return process.state() == QProcess::NotRunning; }));
 }
 
 TEST(the_command_line, exits_as_documented)
 {
-    site at{{}};
-    ASSERT_TRUE(at.wait_serving());
+    site fixture{{}};
+    ASSERT_TRUE(fixture.wait_serving());
     QTemporaryDir folder;
     const auto write = [&](const char* name, const std::string& text) {
         const auto path = folder.path().toStdString() + "/" + name;
         std::ofstream{path} << text;
         return QString::fromStdString(path);
     };
-    const auto daemon = QString::fromStdString(at.operators().str());
-    const auto next = write("next.json", at.file(1, "next", 1));
-    const auto late = write("late.json", at.file(0, "late", 1));
-    const auto bad = write("bad.json", "{\"based_on\": 0}");
+    const auto operators_address = QString::fromStdString(fixture.operators().str());
+    const auto next = write("next.json", fixture.declarative_file(1, "next", 1));
+    const auto outdated = write("late.json", fixture.declarative_file(0, "late", 1));
+    const auto invalid = write("bad.json", "{\"based_on\": 0}");
 
-    EXPECT_EQ(run({"version"}).code, 0);
-    EXPECT_EQ(run({"--help"}).code, 0);
-    EXPECT_EQ(run({}).code, 1);
-    EXPECT_EQ(run({"drain", "pod", "x"}).code, 1);
-    EXPECT_EQ(run({"status", "--daemon", "somewhere"}).code, 1);
-    EXPECT_EQ(run({"check", bad}).code, 2);
-    EXPECT_NE(run({"check", bad}).text.find("/change_id: is missing"), std::string::npos);
-    EXPECT_EQ(run({"check", "no-such-file"}).code, 2);
-    EXPECT_EQ(run({"serve", "--settings", bad}).code, 2);
-    EXPECT_EQ(run({"check", next}).code, 0);
-    EXPECT_EQ(run({"plan", next, "--daemon", daemon}).code, 0);
-    EXPECT_EQ(run({"apply", next, "--wait", "18", "--daemon", daemon}).code, 0);
-    EXPECT_EQ(run({"apply", next, "--daemon", daemon}).text, "accepted as revision 2\n");
-    EXPECT_EQ(run({"apply", late, "--daemon", daemon}).code, 3);
-    EXPECT_EQ(run({"plan", late, "--daemon", daemon}).code, 3);
-    EXPECT_EQ(run({"apply", next, "--wait", "1", "--daemon", daemon, "--also", "127.0.0.1:1"}).code,
+    EXPECT_EQ(run_command({"version"}).exit_code, 0);
+    EXPECT_EQ(run_command({"--help"}).exit_code, 0);
+    EXPECT_EQ(run_command({}).exit_code, 1);
+    EXPECT_EQ(run_command({"drain", "pod", "x"}).exit_code, 1);
+    EXPECT_EQ(run_command({"status", "--daemon", "somewhere"}).exit_code, 1);
+    EXPECT_EQ(run_command({"check", invalid}).exit_code, 2);
+    EXPECT_NE(run_command({"check", invalid}).output.find("/change_id: is missing"),
+              std::string::npos);
+    EXPECT_EQ(run_command({"check", "no-such-file"}).exit_code, 2);
+    EXPECT_EQ(run_command({"serve", "--settings", invalid}).exit_code, 2);
+    EXPECT_EQ(run_command({"check", next}).exit_code, 0);
+    EXPECT_EQ(run_command({"plan", next, "--daemon", operators_address}).exit_code, 0);
+    EXPECT_EQ(run_command({"apply", next, "--wait", "18", "--daemon", operators_address}).exit_code,
+              0);
+    EXPECT_EQ(run_command({"apply", next, "--daemon", operators_address}).output,
+              "accepted as revision 2\n");
+    EXPECT_EQ(run_command({"apply", outdated, "--daemon", operators_address}).exit_code, 3);
+    EXPECT_EQ(run_command({"plan", outdated, "--daemon", operators_address}).exit_code, 3);
+    EXPECT_EQ(run_command({"apply", next, "--wait", "1", "--daemon", operators_address, "--also",
+                           "127.0.0.1:1"})
+                  .exit_code,
               6);
-    EXPECT_NE(run({"status", "--daemon", daemon}).text.find("pool/0"), std::string::npos);
-    EXPECT_EQ(run({"explain", "nobody", "--daemon", daemon}).code, 3);
-    EXPECT_EQ(run({"status", "--daemon", "127.0.0.1:1"}).code, 4);
-    EXPECT_EQ(run({"stop", "--daemon", daemon}).code, 0);
-    EXPECT_TRUE(wait_until([&] { return at.exit_code() == 0; }));
+    EXPECT_NE(run_command({"status", "--daemon", operators_address}).output.find("pool/0"),
+              std::string::npos);
+    EXPECT_EQ(run_command({"explain", "nobody", "--daemon", operators_address}).exit_code, 3);
+    EXPECT_EQ(run_command({"status", "--daemon", "127.0.0.1:1"}).exit_code, 4);
+    EXPECT_EQ(run_command({"stop", "--daemon", operators_address}).exit_code, 0);
+    EXPECT_TRUE(wait_until([&] { return fixture.exit_code() == 0; }));
 }
 
 } // namespace
--- a/tests/daemon/fleet_test.cpp
+++ b/tests/daemon/fleet_test.cpp
@@ -27,31 +27,32 @@
 }
 
 /// The daemons of an example as processes. Its engines run in the test's process.
-class fleet {
+class example_fleet {
 public:
-    explicit fleet(const std::string& name)
-        : base_{std::string{SOURCE_DIR} + "/examples/" + name},
-          site_(read_json(base_ + "/site.json"))
+    explicit example_fleet(const std::string& name)
+        : example_path_{std::string{SOURCE_DIR} + "/examples/" + name},
+          declarative_file_(read_json(example_path_ + "/site.json"))
     {
         stand_in_runner::options engine;
         engine.token_ms = 10;
         engine.load_ms = 300;
-        for (const auto& it : site_["runners"]) {
+        for (const auto& it : declarative_file_["runners"]) {
             add_engine(it["address"], engine);
         }
-        for (const auto& it : site_["services"][0]["upstreams"]) {
+        for (const auto& it : declarative_file_["services"][0]["upstreams"]) {
             add_engine(it["address"], engine);
         }
-        const auto first = read_json(base_ + "/settings-" +
-                                     site_["failure_domains"][0].get<std::string>() + "-1.json");
+        const auto first =
+            read_json(example_path_ + "/settings-" +
+                      declarative_file_["failure_domains"][0].get<std::string>() + "-1.json");
         for (const auto& peer : first["peers"]) {
             const std::string id = peer["id"];
-            settings_[id] = read_json(base_ + "/settings-" + id + ".json");
+            settings_[id] = read_json(example_path_ + "/settings-" + id + ".json");
             start(id);
         }
     }
 
-    ~fleet()
+    ~example_fleet()
     {
         for (auto& [id, it] : processes_) {
             it->kill();
@@ -59,8 +60,8 @@
         }
     }
 
-    fleet(const fleet&) = delete;
-    fleet& operator=(const fleet&) = delete;
+    example_fleet(const example_fleet&) = delete;
+    example_fleet& operator=(const example_fleet&) = delete;
 
     void start(const std::string& id)
     {
@@ -68,9 +69,9 @@
         it->setWorkingDirectory(folder_.path());
         it->setStandardErrorFile(
             QString::fromStdString(std::string{BINARY_DIR} + "/fleet-" + id + ".log"));
-        it->start(
-            BINARY_DIR "/cedarpoint",
-            {"serve", "--settings", QString::fromStdString(base_ + "/settings-" + id + ".json")});
+        it->start(BINARY_DIR "/cedarpoint",
+                  {"serve", "--settings",
+                   QString::fromStdString(example_path_ + "/settings-" + id + ".json")});
         it->waitForStarted();
         processes_[id] = std::move(it);
     }
@@ -81,9 +82,9 @@
         processes_.at(id)->waitForFinished();
     }
 
-    void signal(const std::string& id, int number)
+    void signal(const std::string& id, int signal_number)
     {
-        ::kill(static_cast<pid_t>(processes_.at(id)->processId()), number);
+        ::kill(static_cast<pid_t>(processes_.at(id)->processId()), signal_number);
     }
 
     [[nodiscard]] std::vector<std::string> ids() const
@@ -106,9 +107,10 @@
         raw_caller it{*endpoint::parse(settings_.at(id)["operators"].get<std::string>())};
         it.send(plain_request("GET", "/v1/status", "Connection: close\r\n", ""));
         it.wait_closed();
-        const auto at = it.received().find("\r\n\r\n");
-        return at == std::string::npos ? json::object()
-                                       : json::parse(it.received().substr(at), nullptr, false);
+        const auto body_start = it.received().find("\r\n\r\n");
+        return body_start == std::string::npos
+                   ? json::object()
+                   : json::parse(it.received().substr(body_start), nullptr, false);
     }
 
     bool apply(const std::string& id, const std::string& text)
@@ -119,18 +121,18 @@
         return status_of(it.received()) == 200;
     }
 
-    int serving(const std::string& id)
+    int serving_groups(const std::string& id)
     {
         int n = 0;
-        const auto all = status(id);
-        for (const auto& it : all.value("groups", json::array())) {
+        const auto reported = status(id);
+        for (const auto& it : reported.value("groups", json::array())) {
             n += it["state"] == "serving" ? 1 : 0;
         }
         return n;
     }
 
-    [[nodiscard]] std::string site_text() const { return site_.dump(); }
-    [[nodiscard]] const json& site() const { return site_; }
+    [[nodiscard]] std::string declarative_text() const { return declarative_file_.dump(); }
+    [[nodiscard]] const json& declarative_file() const { return declarative_file_; }
     void kill_engine(const std::string& address) { engines_.erase(address); }
 
     [[nodiscard]] int arrivals(const std::string& text) const
@@ -155,8 +157,8 @@
         engines_[address] = std::move(it);
     }
 
-    std::string base_;
-    json site_;
+    std::string example_path_;
+    json declarative_file_;
     QTemporaryDir folder_;
     std::map<std::string, std::unique_ptr<stand_in_runner>> engines_;
     std::map<std::string, json> settings_;
@@ -167,29 +169,32 @@
 /// and does not accept a partial answer.
 class retrying_caller {
 public:
-    retrying_caller(fleet& at, std::string text, bool once, std::size_t first)
-        : at_{at}, text_{std::move(text)}, once_{once}, turn_{first}
+    retrying_caller(example_fleet& fleet, std::string text, bool not_repeatable,
+                    std::size_t first_id)
+        : fleet_{fleet}, text_{std::move(text)}, not_repeatable_{not_repeatable}, next_id_{first_id}
     {
         send_again();
     }
 
     /// Processes received bytes. Returns true once the final answer has arrived.
-    bool step()
+    bool poll()
     {
         if (done_) {
             return true;
         }
-        const auto& got = caller_->received();
+        const auto& received = caller_->received();
         const bool closed = caller_->socket().state() == QAbstractSocket::UnconnectedState;
-        if (got.find("[DONE]") != std::string::npos) {
-            whole_ = tokens_in(got).size() == tokens && tokens_in(got).back() == tokens - 1;
+        if (received.find("[DONE]") != std::string::npos) {
+            complete_ =
+                tokens_in(received).size() == tokens && tokens_in(received).back() == tokens - 1;
             done_ = true;
         }
-        else if (says(got, "\"ran\":") && !says(got, "\"ran\":\"not run\"") && once_) {
-            error_ = got;
+        else if (contains(received, "\"ran\":") && !contains(received, "\"ran\":\"not run\"") &&
+                 not_repeatable_) {
+            error_ = received;
             done_ = true;
         }
-        else if (says(got, "\"ran\":") || closed) {
+        else if (contains(received, "\"ran\":") || closed) {
             send_again(); // with its key, if any; the claim tells whether it ran
         }
         return done_;
@@ -200,44 +205,47 @@
     {
         return !done_ && caller_->received().find("\"t5 ") != std::string::npos;
     }
-    [[nodiscard]] bool is_whole() const { return whole_; }
+    [[nodiscard]] bool is_complete() const { return complete_; }
     [[nodiscard]] const std::string& text() const { return text_; }
     [[nodiscard]] const std::string& error() const { return error_; }
     static constexpr int tokens = 150;
 
 private:
-    static bool says(const std::string& all, const char* part)
+    static bool contains(const std::string& text, const char* part)
     {
-        return all.find(part) != std::string::npos;
+        return text.find(part) != std::string::npos;
     }
 
     void send_again()
     {
-        const auto all = at_.ids();
-        ask call{.tokens = tokens,
-                 .text = text_,
-                 .key = at_.site()["client_accounts"][0]["id"].get<std::string>() + "-key"};
-        if (once_) {
-            call.headers = "Cedarpoint-Not-Repeatable: true\r\nIdempotency-Key: " + text_ + "\r\n";
+        const auto ids = fleet_.ids();
+        chat_options options{
+            .tokens = tokens,
+            .text = text_,
+            .key =
+                fleet_.declarative_file()["client_accounts"][0]["id"].get<std::string>() + "-key"};
+        if (not_repeatable_) {
+            options.headers =
+                "Cedarpoint-Not-Repeatable: true\r\nIdempotency-Key: " + text_ + "\r\n";
         }
-        auto request = chat_request(call);
-        const std::string model = at_.site()["models"][0]["id"];
-        const auto body_at = request.find("\r\n\r\n") + 4;
-        auto body = json::parse(request.substr(body_at));
+        auto request = chat_request(options);
+        const std::string model = fleet_.declarative_file()["models"][0]["id"];
+        const auto body_start = request.find("\r\n\r\n") + 4;
+        auto body = json::parse(request.substr(body_start));
         body["model"] = model;
-        caller_ = std::make_unique<raw_caller>(at_.callers(all[turn_++ % all.size()]));
+        caller_ = std::make_unique<raw_caller>(fleet_.callers(ids[next_id_++ % ids.size()]));
         caller_->send(fmt::format("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: "
                                   "Bearer {}\r\n{}Content-Length: {}\r\n\r\n{}",
-                                  call.key, call.headers, body.dump().size(), body.dump()));
+                                  options.key, options.headers, body.dump().size(), body.dump()));
     }
 
-    fleet& at_;
+    example_fleet& fleet_;
     std::string text_;
-    bool once_;
-    std::size_t turn_;
+    bool not_repeatable_;
+    std::size_t next_id_;
     std::unique_ptr<raw_caller> caller_;
     bool done_ = false;
-    bool whole_ = false;
+    bool complete_ = false;
     std::string error_;
 };
 
@@ -245,71 +253,74 @@
 
 TEST_P(shipped_example, loses_and_doubles_nothing_under_kills_and_pauses)
 {
-    fleet at{GetParam()};
-    const auto ids = at.ids();
+    example_fleet fleet{GetParam()};
+    const auto ids = fleet.ids();
     ASSERT_TRUE(wait_until([&] {
-        return !at.status(ids[0]).value("domain_log", json::object()).value("leader", "").empty();
+        return !fleet.status(ids[0])
+                    .value("domain_log", json::object())
+                    .value("leader", "")
+                    .empty();
     }));
-    ASSERT_TRUE(wait_until([&] { return at.apply(ids[4], at.site_text()); }));
+    ASSERT_TRUE(wait_until([&] { return fleet.apply(ids[4], fleet.declarative_text()); }));
     for (const auto& id : ids) {
         ASSERT_TRUE(wait_until([&] {
-            return at.status(id).value("revision", 0) == 1 && at.serving(id) == 4;
+            return fleet.status(id).value("revision", 0) == 1 && fleet.serving_groups(id) == 4;
         })) << id;
     }
 
     std::vector<std::unique_ptr<retrying_caller>> callers;
-    int named = 0;
-    const auto add = [&](int count) {
-        for (int n = 0; n < count; ++n, ++named) {
-            callers.push_back(
-                std::make_unique<retrying_caller>(at, fmt::format("note-{:04}", named),
-                                                  named % 4 == 0, static_cast<std::size_t>(named)));
+    int next_number = 0;
+    const auto add_callers = [&](int count) {
+        for (int n = 0; n < count; ++n, ++next_number) {
+            callers.push_back(std::make_unique<retrying_caller>(
+                fleet, fmt::format("note-{:04}", next_number), next_number % 4 == 0,
+                static_cast<std::size_t>(next_number)));
         }
     };
-    const auto some_answered = [&](int more) {
+    const auto wait_for_answers = [&](int count) {
         const auto answered = [&] {
             return std::count_if(callers.begin(), callers.end(),
-                                 [](auto& it) { return it->step(); });
+                                 [](auto& it) { return it->poll(); });
         };
         const auto from = answered();
-        return wait_until([&] { return answered() >= from + more; });
+        return wait_until([&] { return answered() >= from + count; });
     };
-    const auto many_have_partial_answers = [&] {
+    const auto wait_for_partial_answers = [&] {
         return wait_until([&] {
             for (const auto& it : callers) {
-                it->step();
+                it->poll();
             }
             return std::count_if(callers.begin(), callers.end(),
                                  [](auto& it) { return it->has_partial_answer(); }) > 40;
         });
     };
-    add(60);
-    ASSERT_TRUE(many_have_partial_answers());
-    const auto leader = at.status(ids[0])["domain_log"].value("leader", "");
-    at.kill(leader); // this cuts off the streams of its callers
-    ASSERT_TRUE(some_answered(10));
-    add(60);
-    ASSERT_TRUE(many_have_partial_answers());
-    at.kill_engine(at.site()["runners"][0]["address"]);
-    const auto paused = ids[4];
-    at.signal(paused, SIGSTOP);
-    add(60);
-    ASSERT_TRUE(some_answered(30));
-    at.start(leader);
-    at.signal(paused, SIGCONT);
-    add(30);
+    add_callers(60);
+    ASSERT_TRUE(wait_for_partial_answers());
+    const auto leader = fleet.status(ids[0])["domain_log"].value("leader", "");
+    fleet.kill(leader); // this cuts off the streams of its callers
+    ASSERT_TRUE(wait_for_answers(10));
+    add_callers(60);
+    ASSERT_TRUE(wait_for_partial_answers());
+    fleet.kill_engine(fleet.declarative_file()["runners"][0]["address"]);
+    const auto stopped_daemon = ids[4];
+    fleet.signal(stopped_daemon, SIGSTOP);
+    add_callers(60);
+    ASSERT_TRUE(wait_for_answers(30));
+    fleet.start(leader);
+    fleet.signal(stopped_daemon, SIGCONT);
+    add_callers(30);
     ASSERT_TRUE(wait_until([&] {
-        return std::all_of(callers.begin(), callers.end(), [](auto& it) { return it->step(); });
+        return std::all_of(callers.begin(), callers.end(), [](auto& it) { return it->poll(); });
     }));
     int reported_failures = 0;
     for (const auto& it : callers) {
-        const bool once = std::stoi(it->text().substr(5)) % 4 == 0;
-        if (once) {
-            EXPECT_LE(at.arrivals(it->text()), 1) << it->text();
-            reported_failures += it->is_whole() ? 0 : 1;
+        const bool not_repeatable = std::stoi(it->text().substr(5)) % 4 == 0;
+        if (not_repeatable) {
+            EXPECT_LE(fleet.arrivals(it->text()), 1) << it->text();
+            reported_failures += it->is_complete() ? 0 : 1;
         }
         else {
-            EXPECT_TRUE(it->is_whole()) << it->text() << it->error();
+            EXPECT_TRUE(it->is_complete()) << it->text() << it->error();
         }
     }
     EXPECT_GT(reported_failures, 0)
@@ -317,8 +328,9 @@
     std::printf("%zu answers, %d not repeatable ended with an error\n", callers.size(),
                 reported_failures);
     // The killed daemon follows the log again, and all groups of its failure domain serve.
-    ASSERT_TRUE(wait_until(
-        [&] { return at.status(leader).value("revision", 0) == 1 && at.serving(leader) == 4; }));
+    ASSERT_TRUE(wait_until([&] {
+        return fleet.status(leader).value("revision", 0) == 1 && fleet.serving_groups(leader) == 4;
+    }));
 }
 
 INSTANTIATE_TEST_SUITE_P(examples, shipped_example, testing::Values("tdv-dispatch", "potting-shed"),
--- a/tests/daemon/occupied_address_test.cpp
+++ b/tests/daemon/occupied_address_test.cpp
@@ -27,18 +27,19 @@
 TEST(daemons_whose_addresses_are_in_use, start_once_they_are_free)
 {
     fleet_processes fleet{{net, 1, "occupied", false}};
-    std::vector<std::unique_ptr<QTcpServer>> holders;
-    for (const auto& at : {fleet.mesh_address(0), fleet.controls()[1], fleet.entries()[0]}) {
-        holders.push_back(std::make_unique<QTcpServer>());
-        ASSERT_TRUE(holders.back()->listen(QHostAddress{QString::fromStdString(at.ip)}, at.port));
+    std::vector<std::unique_ptr<QTcpServer>> listeners;
+    for (const auto& address : {fleet.mesh_address(0), fleet.controls()[1], fleet.entries()[0]}) {
+        listeners.push_back(std::make_unique<QTcpServer>());
+        ASSERT_TRUE(listeners.back()->listen(QHostAddress{QString::fromStdString(address.ip)},
+                                             address.port));
     }
     fleet.start_all();
     pass_time(seconds{1});
-    holders.clear();
+    listeners.clear();
     EXPECT_TRUE(fleet.put(document));
     pass_time(milliseconds{500});
-    for (int which = 0; which < fleet.count(); ++which) {
-        EXPECT_TRUE(fleet.at(which).is_running()) << which;
+    for (int index = 0; index < fleet.count(); ++index) {
+        EXPECT_TRUE(fleet.at(index).is_running()) << index;
     }
 }
 
--- a/tests/daemon/site.cpp
+++ b/tests/daemon/site.cpp
@@ -37,9 +37,9 @@
     wait_until([until = steady_now() + time] { return steady_now() > until; });
 }
 
-raw_caller::raw_caller(const endpoint& to)
+raw_caller::raw_caller(const endpoint& address)
 {
-    socket_.connectToHost(QHostAddress{QString::fromStdString(to.ip)}, to.port);
+    socket_.connectToHost(QHostAddress{QString::fromStdString(address.ip)}, address.port);
     wait_until([&] {
         return socket_.state() == QAbstractSocket::ConnectedState ||
                socket_.state() == QAbstractSocket::UnconnectedState;
@@ -86,47 +86,48 @@
                        method, target, headers, body.size(), body);
 }
 
-std::string chat_request(const ask& it)
+std::string chat_request(const chat_options& options)
 {
     const json body{{"model", "m"},
-                    {"stream", it.stream},
-                    {"max_tokens", it.tokens},
-                    {"messages", json::array({{{"role", "user"}, {"content", it.text}}})}};
+                    {"stream", options.stream},
+                    {"max_tokens", options.tokens},
+                    {"messages", json::array({{{"role", "user"}, {"content", options.text}}})}};
     const auto text = body.dump();
     return fmt::format("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
                        "{}\r\n{}Content-Length: {}\r\n\r\n{}",
-                       it.key, it.headers, text.size(), text);
+                       options.key, options.headers, text.size(), text);
 }
 
 std::vector<int> tokens_in(const std::string& answer)
 {
     std::vector<int> out;
-    const std::string mark = "\"content\":\"t";
-    for (auto at = answer.find(mark); at != std::string::npos; at = answer.find(mark, at + 1)) {
-        out.push_back(std::stoi(answer.substr(at + mark.size())));
+    const std::string marker = "\"content\":\"t";
+    for (auto position = answer.find(marker); position != std::string::npos;
+         position = answer.find(marker, position + 1)) {
+        out.push_back(std::stoi(answer.substr(position + marker.size())));
     }
     return out;
 }
 
 int status_of(const std::string& text)
 {
-    constexpr std::size_t digits_at = 9;
-    return text.size() < digits_at + 3 ? 0 : std::stoi(text.substr(digits_at, 3));
+    constexpr std::size_t status_offset = 9;
+    return text.size() < status_offset + 3 ? 0 : std::stoi(text.substr(status_offset, 3));
 }
 
-site::site(const options& how) : options_{how}
+site::site(const options& options) : options_{options}
 {
-    for (int n = 0; n < how.groups * nodes_per_group + how.spares; ++n) {
-        engines_.push_back(std::make_unique<stand_in_runner>(how.engine));
+    for (int n = 0; n < options.groups * nodes_per_group + options.spares; ++n) {
+        engines_.push_back(std::make_unique<stand_in_runner>(options.engine));
         reason why;
         engines_.back()->start({"127.0.0.1", 0}, why);
         addresses_.push_back(engines_.back()->address());
     }
-    shop_ = std::make_unique<stand_in_runner>(how.engine);
+    shop_ = std::make_unique<stand_in_runner>(options.engine);
     reason why;
     shop_->start({"127.0.0.1", 0}, why);
     start_daemon();
-    apply(file(0, "first", how.groups));
+    apply(declarative_file(0, "first", options.groups));
     wait_until([&] { return daemon_->is_ready(); });
 }
 
@@ -134,20 +135,20 @@
 
 void site::start_daemon()
 {
-    settings own;
-    own.id = daemon_id{"d1"};
-    own.failure_domain = failure_domain_id{"zone"};
-    own.callers = {"127.0.0.1", 0};
-    own.operators = {"127.0.0.1", 0};
-    own.data_folder = folder_.path().toStdString();
-    own.watch_interval = milliseconds{50};
-    own.limits = options_.limits;
-    own.stop_bound = options_.stop_bound;
+    settings daemon_settings;
+    daemon_settings.id = daemon_id{"d1"};
+    daemon_settings.failure_domain = failure_domain_id{"zone"};
+    daemon_settings.callers = {"127.0.0.1", 0};
+    daemon_settings.operators = {"127.0.0.1", 0};
+    daemon_settings.data_folder = folder_.path().toStdString();
+    daemon_settings.watch_interval = milliseconds{50};
+    daemon_settings.limits = options_.limits;
+    daemon_settings.stop_bound = options_.stop_bound;
     if (!options_.operator_key.empty()) {
-        own.operator_key_sha256 = sha256_hex(options_.operator_key);
+        daemon_settings.operator_key_sha256 = sha256_hex(options_.operator_key);
     }
     reason why;
-    daemon_ = daemon::start(own, why);
+    daemon_ = daemon::start(daemon_settings, why);
     if (daemon_ == nullptr) {
         fmt::print(stderr, "{}\n", why.str());
         std::abort();
@@ -163,7 +164,7 @@
     wait_until([&] { return daemon_->is_ready(); });
 }
 
-std::string site::file(int based_on, const std::string& change, int groups) const
+std::string site::declarative_file(int based_on, const std::string& change, int groups) const
 {
     json out{{"based_on", based_on},
              {"change_id", change},
@@ -198,10 +199,10 @@
     return out.dump();
 }
 
-bool site::apply(const std::string& text)
+bool site::apply(const std::string& document)
 {
     raw_caller it{operators()};
-    it.send(plain_request("POST", "/v1/configuration", "Connection: close\r\n", text));
+    it.send(plain_request("POST", "/v1/configuration", "Connection: close\r\n", document));
     it.wait_closed();
     return status_of(it.received()) == 200;
 }
@@ -225,25 +226,25 @@
     });
 }
 
-std::size_t site::first_of(const std::string& group)
+std::size_t site::engine_index_of(const std::string& group)
 {
     const auto* it = daemon_->control().domain().groups().find(group_id{group});
     return it == nullptr ? 0
                          : static_cast<std::size_t>(std::stoi(it->nodes.front().str().substr(1)));
 }
 
-int site::arrivals(const std::string& body) const
+int site::arrivals(const std::string& text) const
 {
     int out = 0;
     for (const auto& it : engines_) {
         if (it != nullptr) {
-            for (const auto& [text, n] : it->arrivals()) {
-                out += text.find(body) != std::string::npos ? n : 0;
+            for (const auto& [body, n] : it->arrivals()) {
+                out += body.find(text) != std::string::npos ? n : 0;
             }
         }
     }
-    for (const auto& [text, n] : shop_->arrivals()) {
-        out += text.find(body) != std::string::npos ? n : 0;
+    for (const auto& [body, n] : shop_->arrivals()) {
+        out += body.find(text) != std::string::npos ? n : 0;
     }
     return out;
 }
--- a/tests/daemon/site.h
+++ b/tests/daemon/site.h
@@ -23,7 +23,7 @@
 /// A caller's connection that sends and receives raw bytes.
 class raw_caller {
 public:
-    explicit raw_caller(const endpoint& to);
+    explicit raw_caller(const endpoint& address);
     void send(const std::string& bytes);
     /// Returns all bytes received so far.
     const std::string& received();
@@ -38,7 +38,7 @@
 };
 
 /// The contents of a request to a model.
-struct ask {
+struct chat_options {
     bool stream = true;
     int tokens = 8;
     std::string text = "why";
@@ -46,7 +46,7 @@
     std::string key = "secret";
 };
 
-std::string chat_request(const ask& it);
+std::string chat_request(const chat_options& options);
 std::string plain_request(const std::string& method, const std::string& target,
                           const std::string& headers, const std::string& body);
 /// Returns the token numbers in a streamed answer, in order.
@@ -68,7 +68,7 @@
         std::string operator_key; ///< empty: no key is required
     };
 
-    explicit site(const options& how);
+    explicit site(const options& options);
     ~site();
     site(const site&) = delete;
     site& operator=(const site&) = delete;
@@ -77,7 +77,7 @@
     bool wait_serving();
     /// Stops the daemon and starts a new one on the same data folder.
     void restart();
-    daemon& it() { return *daemon_; }
+    daemon& running_daemon() { return *daemon_; }
     bool has_daemon() const { return daemon_ != nullptr; }
     [[nodiscard]] endpoint callers() const { return daemon_->callers(); }
     [[nodiscard]] endpoint operators() const { return daemon_->operators(); }
@@ -86,12 +86,12 @@
     /// Destroys an engine: its connections break and its address refuses new ones.
     void kill_engine(std::size_t n) { engines_[n].reset(); }
     /// Returns the index of the engine that receives the requests of a group.
-    std::size_t first_of(const std::string& group);
-    [[nodiscard]] int arrivals(const std::string& body) const;
+    std::size_t engine_index_of(const std::string& group);
+    [[nodiscard]] int arrivals(const std::string& text) const;
     [[nodiscard]] int exit_code() const { return exit_code_; }
     /// Returns the declarative file in use with the given base revision, change id and group count.
-    std::string file(int based_on, const std::string& change, int groups) const;
-    bool apply(const std::string& text);
+    std::string declarative_file(int based_on, const std::string& change, int groups) const;
+    bool apply(const std::string& document);
     bool drain(const std::string& kind, const std::string& id, bool draining);
 
 private:
