--- a/tests/entry/runner_request_test.cpp
+++ b/tests/entry/runner_request_test.cpp
@@ -8,7 +8,7 @@
 namespace cedarpoint {
 namespace {
 
-http_request from_caller()
+http_request caller_request()
 {
     http_request out{"POST", "/ask/x?q=1", {}, "why"};
     out.fields.add("Host", "h.example");
@@ -36,7 +36,7 @@
     added.account = client_account_id{"till"};
     added.priority = 3;
     added.resume_after = "12";
-    EXPECT_EQ(serialize(from_caller(), added, installed_platform().headers()),
+    EXPECT_EQ(serialize(caller_request(), added, installed_platform().headers()),
               "POST /ask/x?q=1 HTTP/1.1\r\n"
               "Host: h.example\r\n"
               "X-Cedarpoint-Request-Id: r1\r\n"
@@ -53,13 +53,13 @@
 
 TEST(a_request_to_a_runner, has_a_length_unless_it_can_have_no_body)
 {
-    const auto& names = installed_platform().headers();
-    auto request = from_caller();
+    const auto& header_names = installed_platform().headers();
+    auto request = caller_request();
     request.body.clear();
-    EXPECT_NE(serialize(request, daemon_headers(), names).find("Content-Length: 0"),
+    EXPECT_NE(serialize(request, daemon_headers(), header_names).find("Content-Length: 0"),
               std::string::npos);
     request.method = "GET";
-    EXPECT_EQ(serialize(request, daemon_headers(), names).find("Content-Length"),
+    EXPECT_EQ(serialize(request, daemon_headers(), header_names).find("Content-Length"),
               std::string::npos);
 }
 
--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -15,16 +15,16 @@
 using testing_support::wait_until;
 
 struct key_pair {
-    std::string open;
-    std::string secret;
+    std::string public_key;
+    std::string secret_key;
 };
 
 key_pair make_keys()
 {
-    std::array<char, 41> open{};
-    std::array<char, 41> secret{};
-    zmq_curve_keypair(open.data(), secret.data());
-    return {open.data(), secret.data()};
+    std::array<char, 41> public_key{};
+    std::array<char, 41> secret_key{};
+    zmq_curve_keypair(public_key.data(), secret_key.data());
+    return {public_key.data(), secret_key.data()};
 }
 
 endpoint free_address()
@@ -41,7 +41,7 @@
     settings out;
     out.id = daemon_id{id};
     out.peers = peers;
-    out.curve_public_key = keys.open;
+    out.curve_public_key = keys.public_key;
     for (const auto& it : peers) {
         if (it.id.str() == id) {
             out.daemons = it.address;
@@ -62,15 +62,17 @@
 /// Two daemons with the given keys, which count the messages that they receive from each other.
 class daemon_pair {
 public:
-    daemon_pair(const key_pair& first, const key_pair& second)
+    daemon_pair(const key_pair& keys_of_a, const key_pair& keys_of_b)
     {
         const std::vector<peer_spec> peers{
             {daemon_id{"a"}, free_address(), failure_domain_id{"z"}, true, true},
             {daemon_id{"b"}, free_address(), failure_domain_id{"z"}, false, true}};
         a_address = peers.front().address;
         reason why;
-        EXPECT_TRUE(a.start(settings_of("a", peers, first), first.secret, why)) << why.str();
-        EXPECT_TRUE(b.start(settings_of("b", peers, second), second.secret, why)) << why.str();
+        EXPECT_TRUE(a.start(settings_of("a", peers, keys_of_a), keys_of_a.secret_key, why))
+            << why.str();
+        EXPECT_TRUE(b.start(settings_of("b", peers, keys_of_b), keys_of_b.secret_key, why))
+            << why.str();
     }
 
     void exchange_messages()
@@ -82,10 +84,10 @@
     }
 
     endpoint a_address;
-    int at_a = 0;
-    int at_b = 0;
-    mesh a{[this](const wire::envelope&) { ++at_a; }};
-    mesh b{[this](const wire::envelope&) { ++at_b; }};
+    int received_by_a = 0;
+    int received_by_b = 0;
+    mesh a{[this](const wire::envelope&) { ++received_by_a; }};
+    mesh b{[this](const wire::envelope&) { ++received_by_b; }};
 };
 
 TEST(daemons, exchange_messages_without_encryption)
@@ -93,7 +95,7 @@
     daemon_pair it{{}, {}};
     EXPECT_TRUE(wait_until([&] {
         it.exchange_messages();
-        return it.at_a > 0 && it.at_b > 0;
+        return it.received_by_a > 0 && it.received_by_b > 0;
     }));
 }
 
@@ -103,50 +105,50 @@
     daemon_pair it{keys, keys};
     EXPECT_TRUE(wait_until([&] {
         it.exchange_messages();
-        return it.at_a > 0 && it.at_b > 0;
+        return it.received_by_a > 0 && it.received_by_b > 0;
     }));
 }
 
 TEST(daemons, without_the_fleets_keys_are_ignored)
 {
     const auto keys = make_keys();
-    for (const auto& strangers : {make_keys(), key_pair{}}) {
-        daemon_pair proper{keys, keys};
-        daemon_pair it{keys, strangers};
+    for (const auto& other_keys : {make_keys(), key_pair{}}) {
+        daemon_pair valid_pair{keys, keys};
+        daemon_pair mismatched_pair{keys, other_keys};
         int rounds = 0;
         // As many rounds as the pair with valid keys needs for thirty messages in each direction.
         EXPECT_TRUE(wait_until([&] {
-            proper.exchange_messages();
-            it.exchange_messages();
+            valid_pair.exchange_messages();
+            mismatched_pair.exchange_messages();
             ++rounds;
-            return proper.at_a > 30 && proper.at_b > 30;
+            return valid_pair.received_by_a > 30 && valid_pair.received_by_b > 30;
         }));
-        EXPECT_EQ(it.at_a, 0);
-        EXPECT_EQ(it.at_b, 0);
+        EXPECT_EQ(mismatched_pair.received_by_a, 0);
+        EXPECT_EQ(mismatched_pair.received_by_b, 0);
     }
 }
 
 TEST(a_client, that_knows_only_the_public_key_is_ignored)
 {
     const auto keys = make_keys();
-    const auto own = make_keys();
-    daemon_pair proper{keys, keys};
+    const auto client_keys = make_keys();
+    daemon_pair valid_pair{keys, keys};
     zmq::context_t context;
-    zmq::socket_t stranger{context, zmq::socket_type::dealer};
-    stranger.set(zmq::sockopt::linger, 0);
-    stranger.set(zmq::sockopt::curve_publickey, own.open);
-    stranger.set(zmq::sockopt::curve_secretkey, own.secret);
-    stranger.set(zmq::sockopt::curve_serverkey, keys.open);
-    stranger.connect("tcp://" + proper.a_address.str());
+    zmq::socket_t client{context, zmq::socket_type::dealer};
+    client.set(zmq::sockopt::linger, 0);
+    client.set(zmq::sockopt::curve_publickey, client_keys.public_key);
+    client.set(zmq::sockopt::curve_secretkey, client_keys.secret_key);
+    client.set(zmq::sockopt::curve_serverkey, keys.public_key);
+    client.connect("tcp://" + valid_pair.a_address.str());
     const auto forged = envelope_from("b").SerializeAsString();
     EXPECT_TRUE(wait_until([&] {
-        stranger.send(zmq::buffer(forged), zmq::send_flags::dontwait);
-        proper.a.send(daemon_id{"b"}, envelope_from("a"));
-        proper.a.drain();
-        proper.b.drain();
-        return proper.at_b > 300;
+        client.send(zmq::buffer(forged), zmq::send_flags::dontwait);
+        valid_pair.a.send(daemon_id{"b"}, envelope_from("a"));
+        valid_pair.a.drain();
+        valid_pair.b.drain();
+        return valid_pair.received_by_b > 300;
     }));
-    EXPECT_EQ(proper.at_a, 0);
+    EXPECT_EQ(valid_pair.received_by_a, 0);
 }
 
 TEST(daemons, that_are_not_listed_in_the_settings_are_ignored)
@@ -159,39 +161,39 @@
         it.a.drain();
         it.b.drain();
         ++rounds;
-        return it.at_b > 30;
+        return it.received_by_b > 30;
     }));
-    EXPECT_EQ(it.at_a, 0);
+    EXPECT_EQ(it.received_by_a, 0);
 }
 
 TEST(a_peer, that_accepts_the_connection_and_sends_nothing_is_retried)
 {
-    auto silent = std::make_unique<QTcpServer>();
-    ASSERT_TRUE(silent->listen(QHostAddress::LocalHost));
-    const endpoint at{"127.0.0.1", silent->serverPort()};
+    auto silent_server = std::make_unique<QTcpServer>();
+    ASSERT_TRUE(silent_server->listen(QHostAddress::LocalHost));
+    const endpoint address{"127.0.0.1", silent_server->serverPort()};
     reason why;
     mesh sender{[](const wire::envelope&) {}};
     ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
-    const daemon_id peer{at.str()};
+    const daemon_id peer{address.str()};
     sender.add_peer(peer);
-    std::unique_ptr<QTcpSocket> taken;
+    std::unique_ptr<QTcpSocket> accepted;
     ASSERT_TRUE(wait_until([&] {
-        taken.reset(silent->nextPendingConnection());
-        return taken != nullptr;
+        accepted.reset(silent_server->nextPendingConnection());
+        return accepted != nullptr;
     }));
-    silent->close(); // the accepted connection stays open, as in a stopped process
-    bool heard = false;
-    mesh receiver{[&](const wire::envelope&) { heard = true; }};
-    ASSERT_TRUE(receiver.start_unauthenticated(at, why)) << why.str();
-    wire::envelope word;
-    word.set_from("sender");
-    const auto begun = std::chrono::steady_clock::now();
+    silent_server->close(); // the accepted connection stays open, as in a stopped process
+    bool received = false;
+    mesh receiver{[&](const wire::envelope&) { received = true; }};
+    ASSERT_TRUE(receiver.start_unauthenticated(address, why)) << why.str();
+    wire::envelope message;
+    message.set_from("sender");
+    const auto start = std::chrono::steady_clock::now();
     ASSERT_TRUE(wait_until([&] {
-        sender.send(peer, word);
+        sender.send(peer, message);
         receiver.drain();
-        return heard;
+        return received;
     }));
-    EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds{10});
+    EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds{10});
 }
 
 } // namespace
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -32,7 +32,7 @@
         });
     }
 
-    [[nodiscard]] endpoint at() const { return {"127.0.0.1", server_.serverPort()}; }
+    [[nodiscard]] endpoint address() const { return {"127.0.0.1", server_.serverPort()}; }
     int connections = 0;
     bool reset_after = false;
     bool close_after = false;
@@ -47,9 +47,9 @@
         socket->write(answers_[next_++].c_str());
         socket->flush();
         if (reset_after) {
-            const linger at_once{1, 0};
+            const linger zero_linger{1, 0};
             const auto descriptor = static_cast<int>(socket->socketDescriptor());
-            ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+            ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
             socket->abort();
         }
         else if (close_after) {
@@ -63,15 +63,16 @@
 };
 
 /// The recorded callbacks of one exchange.
-struct outcome {
+struct exchange_result {
     std::optional<exchange_end> end;
     int status = 0;
     std::string body;
 };
 
-void run_exchange(runner_pool& pool, const endpoint& to, outcome& out, const std::string& id = "r1")
+void run_exchange(runner_pool& pool, const endpoint& address, exchange_result& out,
+                  const std::string& id = "r1")
 {
-    auto* connection = pool.take(to);
+    auto* connection = pool.take(address);
     exchange_request request;
     request.bytes = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
     request.id_header = "X-Id";
@@ -79,47 +80,47 @@
     exchange_handlers handlers;
     handlers.on_head = [&](const http_head& head) { out.status = head.status; };
     handlers.on_body = [&](const std::string& bytes) { out.body += bytes; };
-    handlers.on_end = [&, connection](exchange_end how, const reason&) {
-        out.end = how;
+    handlers.on_end = [&, connection](exchange_end end, const reason&) {
+        out.end = end;
         pool.give_back(connection);
     };
     connection->start(std::move(request), std::move(handlers));
     ASSERT_TRUE(wait_until([&] { return out.end.has_value(); }));
 }
 
-const std::string whole = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
+const std::string complete_answer = "HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nok";
 
 TEST(a_persistent_connection, serves_requests_one_after_another)
 {
-    scripted_runner runner{{whole, whole}};
+    scripted_runner runner{{complete_answer, complete_answer}};
     runner_pool pool;
-    outcome first;
-    outcome second;
-    run_exchange(pool, runner.at(), first);
-    run_exchange(pool, runner.at(), second);
+    exchange_result first;
+    exchange_result second;
+    run_exchange(pool, runner.address(), first);
+    run_exchange(pool, runner.address(), second);
     EXPECT_EQ(second.body, "ok");
     EXPECT_EQ(runner.connections, 1);
 }
 
 TEST(a_persistent_connection, is_not_reused_after_unsolicited_bytes)
 {
-    scripted_runner runner{{whole + whole, whole}};
+    scripted_runner runner{{complete_answer + complete_answer, complete_answer}};
     runner_pool pool;
-    outcome first;
-    outcome second;
-    run_exchange(pool, runner.at(), first);
+    exchange_result first;
+    exchange_result second;
+    run_exchange(pool, runner.address(), first);
     EXPECT_EQ(first.body, "ok");
-    run_exchange(pool, runner.at(), second);
+    run_exchange(pool, runner.address(), second);
     EXPECT_EQ(runner.connections, 2);
 }
 
 TEST(an_answer, to_an_earlier_request_is_skipped)
 {
     scripted_runner runner{
-        {"HTTP/1.1 200 OK\r\nX-Id: r0\r\nContent-Length: 5\r\n\r\nwrong" + whole}};
+        {"HTTP/1.1 200 OK\r\nX-Id: r0\r\nContent-Length: 5\r\n\r\nwrong" + complete_answer}};
     runner_pool pool;
-    outcome out;
-    run_exchange(pool, runner.at(), out);
+    exchange_result out;
+    run_exchange(pool, runner.address(), out);
     EXPECT_EQ(*out.end, exchange_end::complete);
     EXPECT_EQ(out.body, "ok");
 }
@@ -127,20 +128,20 @@
 TEST(an_answer, without_a_length_is_complete_only_after_an_orderly_close)
 {
     const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nhalf or whole";
-    outcome out;
+    exchange_result out;
     {
         scripted_runner runner{{unframed}};
         runner.close_after = true;
         runner_pool pool;
-        run_exchange(pool, runner.at(), out);
+        run_exchange(pool, runner.address(), out);
         EXPECT_EQ(*out.end, exchange_end::complete);
     }
-    outcome broken;
+    exchange_result after_reset;
     scripted_runner runner{{unframed}};
     runner.reset_after = true;
     runner_pool pool;
-    run_exchange(pool, runner.at(), broken);
-    EXPECT_EQ(*broken.end, exchange_end::cut);
+    run_exchange(pool, runner.address(), after_reset);
+    EXPECT_EQ(*after_reset.end, exchange_end::cut);
 }
 
 TEST(an_answer, that_ends_early_is_reported_as_cut)
@@ -148,22 +149,22 @@
     scripted_runner runner{{"HTTP/1.1 200 OK\r\nX-Id: r1\r\nContent-Length: 9\r\n\r\nok"}};
     runner.close_after = true;
     runner_pool pool;
-    outcome out;
-    run_exchange(pool, runner.at(), out);
+    exchange_result out;
+    run_exchange(pool, runner.address(), out);
     EXPECT_EQ(*out.end, exchange_end::cut);
 }
 
 TEST(an_address, where_nothing_listens_is_reported_as_refused)
 {
-    endpoint nowhere;
+    endpoint unused_address;
     {
         QTcpServer server;
         server.listen(QHostAddress::LocalHost);
-        nowhere = {"127.0.0.1", server.serverPort()};
+        unused_address = {"127.0.0.1", server.serverPort()};
     }
     runner_pool pool;
-    outcome out;
-    run_exchange(pool, nowhere, out);
+    exchange_result out;
+    run_exchange(pool, unused_address, out);
     EXPECT_EQ(*out.end, exchange_end::refused);
 }
 
@@ -173,20 +174,20 @@
     ASSERT_EQ(::pipe(pipe_ends.data()), 0);
     log_sink sink{pipe_ends[1]};
     const std::string line(100, 'x');
-    const auto begun = std::chrono::steady_clock::now();
-    for (int count = 0; count < 20'000; ++count) {
+    const auto start = std::chrono::steady_clock::now();
+    for (int n = 0; n < 20'000; ++n) {
         sink.write(line + "\n");
     }
-    EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds{2});
+    EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds{2});
     EXPECT_GT(sink.dropped(), 1000U);
     std::string read;
     std::array<char, 65536> buffer{};
     ::fcntl(pipe_ends[0], F_SETFL, O_NONBLOCK);
     for (int round = 0; round < 200 && read.find("log_lines_dropped") == std::string::npos;
          ++round) {
-        const auto count = ::read(pipe_ends[0], buffer.data(), buffer.size());
-        if (count > 0) {
-            read.append(buffer.data(), static_cast<std::size_t>(count));
+        const auto n = ::read(pipe_ends[0], buffer.data(), buffer.size());
+        if (n > 0) {
+            read.append(buffer.data(), static_cast<std::size_t>(n));
         }
         sink.write("more\n");
     }
@@ -199,7 +200,7 @@
 {
     log_rate rate{10};
     int written = 0;
-    for (int count = 0; count < 100; ++count) {
+    for (int n = 0; n < 100; ++n) {
         written += rate.take(1000) ? 1 : 0;
     }
     EXPECT_EQ(written, 10);
--- a/tests/io/upstream_call_test.cpp
+++ b/tests/io/upstream_call_test.cpp
@@ -12,16 +12,16 @@
 
 TEST(a_call, to_a_runner_that_stops_sending_ends_as_cut)
 {
-    QTcpServer silent;
-    ASSERT_TRUE(silent.listen(QHostAddress::LocalHost));
+    QTcpServer silent_server;
+    ASSERT_TRUE(silent_server.listen(QHostAddress::LocalHost));
     std::optional<call_end> end;
     reason why;
     upstream_call::handlers handlers;
-    handlers.on_end = [&](call_end how, const reason& what) {
-        end = how;
-        why = what;
+    handlers.on_end = [&](call_end reported_end, const reason& cause) {
+        end = reported_end;
+        why = cause;
     };
-    const endpoint to{"127.0.0.1", silent.serverPort()};
+    const endpoint to{"127.0.0.1", silent_server.serverPort()};
     upstream_call it{
         to, {"GET", "/", {}, {}}, {milliseconds{2000}, milliseconds{100}}, std::move(handlers)};
     it.start();
@@ -33,10 +33,10 @@
 
 TEST(a_call, that_is_paused_does_not_time_out)
 {
-    QTcpServer talker;
-    ASSERT_TRUE(talker.listen(QHostAddress::LocalHost));
-    QObject::connect(&talker, &QTcpServer::newConnection, [&] {
-        auto* socket = talker.nextPendingConnection();
+    QTcpServer partial_server;
+    ASSERT_TRUE(partial_server.listen(QHostAddress::LocalHost));
+    QObject::connect(&partial_server, &QTcpServer::newConnection, [&] {
+        auto* socket = partial_server.nextPendingConnection();
         socket->write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
     });
     std::optional<call_end> end;
@@ -48,8 +48,8 @@
         body += bytes;
         call->pause();
     };
-    handlers.on_end = [&](call_end how, const reason&) { end = how; };
-    upstream_call it{{"127.0.0.1", talker.serverPort()},
+    handlers.on_end = [&](call_end reported_end, const reason&) { end = reported_end; };
+    upstream_call it{{"127.0.0.1", partial_server.serverPort()},
                      {"GET", "/", {}, {}},
                      {milliseconds{2000}, milliseconds{60}},
                      std::move(handlers)};
@@ -57,9 +57,9 @@
     it.start();
     ASSERT_TRUE(wait_until([&] { return body == "ab"; }));
     QTimer timer;
-    bool later = false;
-    timer.singleShot(300, [&] { later = true; });
-    ASSERT_TRUE(wait_until([&] { return later; }));
+    bool elapsed = false;
+    timer.singleShot(300, [&] { elapsed = true; });
+    ASSERT_TRUE(wait_until([&] { return elapsed; }));
     EXPECT_FALSE(end.has_value());
     it.resume();
     ASSERT_TRUE(wait_until([&] { return end.has_value(); }));
