--- a/tests/support/group_invariants.h
+++ b/tests/support/group_invariants.h
@@ -63,7 +63,7 @@
                                      ? indexed == nullptr
                                      : indexed != nullptr && indexed->id == found->second;
             if (!matches) {
-                return "the index by node is wrong for node " + node.str();
+                return "the index by node disagrees with the records for node " + node.str();
             }
         }
         return {};
--- a/tests/support/memory_files.h
+++ b/tests/support/memory_files.h
@@ -25,10 +25,11 @@
     [[nodiscard]] int writes() const { return writes_; }
 
 private:
+    /// Counts a write. Returns whether it must fail; `why` then tells the reason.
     bool inject_failure(reason& why, const std::string& path);
 
     std::map<std::string, std::string> files_;
-    int writes_before_failure_ = -1;
+    int writes_before_failure_ = -1; ///< negative: no failure is injected
     std::size_t kept_bytes_ = 0;
     int writes_ = 0;
 };
--- a/tests/support/pausing_runner.h
+++ b/tests/support/pausing_runner.h
@@ -23,8 +23,8 @@
 /// Makes a runner reject requests with a pause, and counts requests that arrive within a pause.
 class pausing_runner {
 public:
-    /// Requests that were in transit when a runner asked for a pause arrive within this time. After
-    /// it the users' rules allow two requests; the product sends none.
+    /// Requests that were in transit when a runner asked for a pause arrive within this time. The
+    /// requirements allow two later requests within the pause; the product sends none.
     static constexpr duration in_transit_time = milliseconds{500};
 
     explicit pausing_runner(platform_runner& runner) : runner_{runner}
@@ -89,7 +89,7 @@
     }
 
     platform_runner& runner_;
-    std::size_t ended_incarnations_ = 0; ///< incarnations of the runner that have ended
+    std::size_t ended_incarnations_ = 0;
     std::map<int, duration> pending_pauses_;
     std::map<int, pause> active_pauses_;
     std::size_t next_answer_ = 0;
