--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -47,7 +47,8 @@
 
 /// Seeds that failed once, each with its cause.
 const std::vector<std::uint64_t> regression_seeds{
-    150, // once: no leader for 60 s after all control daemons were killed; see docs/RULES-KEPT.md
+    150, // failed once: no leader for 60 s after all control daemons were killed; see
+         // docs/RULES-KEPT.md
 };
 
 std::vector<std::uint64_t> seeds()
@@ -110,11 +111,11 @@
     void expect_no_request_within_pauses() const
     {
         for (const auto& it : pausing_runners) {
-            EXPECT_EQ(it->within, 0) << "requests within a pause";
+            EXPECT_EQ(it->within, 0) << "requests arrived within a pause";
         }
     }
 
-    /// Starts the daemon again after it has ended.
+    /// Restarts a daemon that has exited.
     void restart(int index)
     {
         fleet.start(index, false);
@@ -133,35 +134,35 @@
             daemon.signal(SIGKILL);
             pass_time(milliseconds{random() % 600});
             restart(index);
-            return fmt::format("killed {}", index);
+            return fmt::format("killed daemon {}", index);
         case 1:
             daemon.signal(SIGSTOP);
             pass_time(milliseconds{300 + random() % 1800});
             daemon.signal(SIGCONT);
-            return fmt::format("paused {}", index);
+            return fmt::format("stopped and continued daemon {}", index);
         case 2:
             daemon.signal(SIGTERM);
             wait_until([&] { return !daemon.is_running(); });
             restart(index);
-            return fmt::format("restarted {}", index);
+            return fmt::format("restarted daemon {}", index);
         case 3:
             daemon.signal(SIGHUP);
-            return fmt::format("reloaded {}", index);
+            return fmt::format("sent SIGHUP to daemon {}", index);
         case 4:
             proxy.set_stalled(true);
             pass_time(milliseconds{500 + random() % 1500});
             proxy.set_stalled(false);
             proxy.reset_connections();
-            return "silenced a proxy";
+            return "stalled a proxy";
         case 5:
             proxy.reset_connections();
-            return "reset a proxy";
+            return "reset the connections of a proxy";
         case 6:
             proxy.set_caller_blocked(true);
             pass_time(milliseconds{500 + random() % 1500});
             proxy.set_caller_blocked(false);
             proxy.reset_connections();
-            return "cut a proxy one way";
+            return "blocked the caller's direction of a proxy";
         case 7:
             proxy.set_delay(static_cast<int>(random() % 80));
             return "delayed a proxy";
@@ -197,8 +198,8 @@
             const auto parsed = nlohmann::json::parse(answer.body, nullptr, false);
             ASSERT_TRUE(parsed.is_object()) << answer.body;
             const int version = parsed.at("version").get<int>();
-            EXPECT_GE(version, min_version) << "acknowledged before the read";
-            EXPECT_EQ(answer.body, document(version)) << "read back as it was sent";
+            EXPECT_GE(version, min_version) << "the read missed an acknowledged version";
+            EXPECT_EQ(answer.body, document(version)) << "the document differs from the one sent";
         }
     }
 
@@ -223,11 +224,12 @@
         if (unsafe) {
             EXPECT_LE(served_total() - served_before, 1) << id << " ran more than once";
         }
-        EXPECT_NE(answer.head.status, quarantined_status) << "a sound request";
+        EXPECT_NE(answer.head.status, quarantined_status)
+            << id << " was quarantined but crashes no runner";
         const bool rejected = answer.end == exchange_end::complete &&
                               (answer.head.status == 503 || answer.head.status == 429);
         if (unsafe && rejected) {
-            EXPECT_EQ(served_total(), served_before) << id << " was refused and ran";
+            EXPECT_EQ(served_total(), served_before) << id << " was rejected but ran";
         }
         return complete;
     }
@@ -269,7 +271,7 @@
             EXPECT_EQ(send_crashing_request(), quarantined_status) << fault_history;
         }
         EXPECT_LE(crashing_arrivals() - arrivals_before, max_arrivals)
-            << fault_history << arrivals_before << " before";
+            << fault_history << arrivals_before << " arrivals before";
     }
 
     [[nodiscard]] int served_total() const
--- a/tests/soak/loopback_proxy.h
+++ b/tests/soak/loopback_proxy.h
@@ -18,7 +18,7 @@
     loopback_proxy& operator=(const loopback_proxy&) = delete;
     ~loopback_proxy();
 
-    /// Stops forwarding without closing connections; new ones are accepted and stay silent.
+    /// Stops forwarding without closing connections; new ones are accepted and receive no data.
     void set_stalled(bool stalled);
     /// Stops forwarding from the caller only.
     void set_caller_blocked(bool caller_blocked) { caller_blocked_ = caller_blocked; }
