--- a/tests/suspension/suspended_clock.cpp
+++ b/tests/suspension/suspended_clock.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t ns_per_second = 1'000'000'000;
 
 std::atomic<std::int64_t> suspended_ns{0};
-std::atomic<std::int64_t> last_reading_ns{0}; ///< CLOCK_MONOTONIC at the latest reading of a clock
+std::atomic<std::int64_t> last_reading_ns{0}; ///< CLOCK_MONOTONIC at the last reading of a clock
 
 std::int64_t read_system_clock(clockid_t clock_id)
 {
--- a/tests/suspension/suspended_fleet_test.cpp
+++ b/tests/suspension/suspended_fleet_test.cpp
@@ -126,12 +126,13 @@
         ASSERT_TRUE(leader.has_value());
         fleet.at(*leader).signal(SIGSTOP);
         pass_time(milliseconds{100});
-        ASSERT_TRUE(fleet.put(document(round + 2), leader)) << "by the others";
+        ASSERT_TRUE(fleet.put(document(round + 2), leader))
+            << "no other control daemon accepted it";
         fleet.at(*leader).signal(SIGCONT);
         const auto& control = fleet.controls()[static_cast<std::size_t>(*leader)];
         for (int n = 0; n < 50; ++n) {
             const int version = version_at(control);
-            EXPECT_TRUE(version == 0 || version >= round + 2) << version;
+            EXPECT_TRUE(version == 0 || version >= round + 2) << "version " << version;
         }
     }
 }
@@ -199,7 +200,7 @@
     const auto arrivals_before = arrivals();
     const auto resumed = steady_now();
     fleet.at(first_entry).signal(SIGCONT);
-    ASSERT_TRUE(expired.wait_for("HTTP/1.1 503")) << "it has not run";
+    ASSERT_TRUE(expired.wait_for("HTTP/1.1 503")) << "a request that has not run";
     EXPECT_LT(steady_now() - resumed, milliseconds{300});
     ASSERT_TRUE(waiting.wait_for("HTTP/1.1 504"));
     EXPECT_LT(steady_now() - resumed, milliseconds{2300});
@@ -214,7 +215,7 @@
     pass_time(milliseconds{500});
     suspend({first_entry}, seconds{5});
     ASSERT_TRUE(wait_until([&] { return !entry.is_running(); }));
-    EXPECT_LT(steady_now() - start, seconds{8}) << "the stop bound";
+    EXPECT_LT(steady_now() - start, seconds{8}) << "the stop exceeded its bound";
     EXPECT_EQ(get_status(fleet.entries()[1]), 200);
 }
 
