--- a/tests/daemon/at_most_once_test.cpp
+++ b/tests/daemon/at_most_once_test.cpp
@@ -84,8 +84,10 @@
             caller.send(
                 plain_request(method, "/shop/buy", "Cedarpoint-Not-Repeatable: true\r\n", ""));
             ASSERT_TRUE(caller.wait_for("\"ran\":\"may have run\""))
-                << method << static_cast<int>(point) << caller.received();
-            EXPECT_EQ(shop.connections(), 1) << method << static_cast<int>(point);
+                << method << ", close point " << static_cast<int>(point) << ": "
+                << caller.received();
+            EXPECT_EQ(shop.connections(), 1)
+                << method << ", close point " << static_cast<int>(point);
             EXPECT_LE(shop.requests(), 1);
             // The caller's connection remains usable.
             caller.send(plain_request("GET", "/v1/models", "", ""));
--- a/tests/daemon/bad_input_test.cpp
+++ b/tests/daemon/bad_input_test.cpp
@@ -130,7 +130,7 @@
 
 TEST(operators_without_the_key, are_refused_and_change_nothing)
 {
-    site fixture{{.operator_key = "secret"}}; // sent with the calls of `site` itself
+    site fixture{{.operator_key = "secret"}}; // the key that `site` itself sends
     EXPECT_EQ(fixture.running_daemon().control().domain().in_force().value, 1U);
     const auto status_for = [&](const std::string& header, const std::string& path) {
         raw_caller caller{fixture.operators()};
--- a/tests/daemon/fleet_test.cpp
+++ b/tests/daemon/fleet_test.cpp
@@ -101,7 +101,7 @@
         return *endpoint::parse(settings_.at(id)["callers"].get<std::string>());
     }
 
-    /// Returns a daemon's status; null if it does not answer.
+    /// Returns a daemon's status; an empty object if it does not answer.
     json status(const std::string& id)
     {
         raw_caller it{*endpoint::parse(settings_.at(id)["operators"].get<std::string>())};
@@ -320,11 +320,11 @@
             reported_failures += it->is_complete() ? 0 : 1;
         }
         else {
-            EXPECT_TRUE(it->is_complete()) << it->text() << it->error();
+            EXPECT_TRUE(it->is_complete()) << it->text() << ": " << it->error();
         }
     }
     EXPECT_GT(reported_failures, 0)
-        << "no request of this kind was cut off, so the test checked nothing";
+        << "no request marked as not repeatable was cut off, so none was checked";
     std::printf("%zu answers, %d not repeatable ended with an error\n", callers.size(),
                 reported_failures);
     // The killed daemon follows the log again, and all groups of its failure domain serve.
--- a/tests/daemon/occupied_address_test.cpp
+++ b/tests/daemon/occupied_address_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_TRUE(fleet.put(document));
     pass_time(milliseconds{500});
     for (int index = 0; index < fleet.count(); ++index) {
-        EXPECT_TRUE(fleet.at(index).is_running()) << index;
+        EXPECT_TRUE(fleet.at(index).is_running()) << "daemon " << index;
     }
 }
 
--- a/tests/daemon/site.h
+++ b/tests/daemon/site.h
@@ -85,9 +85,12 @@
     stand_in_runner& shop() { return *shop_; }
     /// Destroys an engine: its connections break and its address refuses new ones.
     void kill_engine(std::size_t n) { engines_[n].reset(); }
-    /// Returns the index of the engine that receives the requests of a group.
+    /// Returns the index of the engine that receives the requests of a group; 0 if there is no such
+    /// group.
     std::size_t engine_index_of(const std::string& group);
+    /// Returns how often the engines and the service received a request with `text` in its body.
     [[nodiscard]] int arrivals(const std::string& text) const;
+    /// Returns the exit code of the daemon; -1 until it has stopped.
     [[nodiscard]] int exit_code() const { return exit_code_; }
     /// Returns the declarative file in use with the given base revision, change id and group count.
     std::string declarative_file(int based_on, const std::string& change, int groups) const;
--- a/tests/daemon/whole_answer_test.cpp
+++ b/tests/daemon/whole_answer_test.cpp
@@ -103,8 +103,9 @@
         fixture.engine(fixture.engine_index_of("pool/1")).fail_next(stage, 1);
         raw_caller caller{fixture.callers()};
         caller.send(chat_request({.tokens = 30}));
-        ASSERT_TRUE(caller.wait_for("[DONE]")) << static_cast<int>(stage);
-        EXPECT_EQ(tokens_in(caller.received()), numbers_below(30)) << static_cast<int>(stage);
+        ASSERT_TRUE(caller.wait_for("[DONE]")) << "stage " << static_cast<int>(stage);
+        EXPECT_EQ(tokens_in(caller.received()), numbers_below(30))
+            << "stage " << static_cast<int>(stage);
         EXPECT_EQ(caller.received().find("half"), std::string::npos);
     }
 }
