--- a/include/cedarpoint/request/open_requests.h
+++ b/include/cedarpoint/request/open_requests.h
@@ -16,7 +16,7 @@
 
 /// A request between admission and final answer.
 struct open_request {
-    enum class phase {
+    enum class phase_t {
         claiming,   ///< waits for the claim from the account's home failure domain
         queued,     ///< waits for a free slot
         running,    ///< an attempt runs at a runner
@@ -25,13 +25,13 @@
 
     request_facts facts;
     admitted_call call;
-    phase at = phase::queued;
+    phase_t phase = phase_t::queued;
     instant retry_at;
     bool claimed = false;
-    bool sending = false;     ///< the present attempt passed bytes to its connection
-    bool sent = false;        ///< an attempt that has ended may have run
-    bool answered = false;    ///< the head of the response was passed to the caller
-    std::uint64_t events = 0; ///< number of whole events passed to the caller
+    bool sending = false;      ///< bytes of the present attempt are, or are about to be, sent
+    bool may_have_run = false; ///< in an attempt that has ended
+    bool answered = false;     ///< the head of the response was passed to the caller
+    std::uint64_t events = 0;  ///< number of whole events passed to the caller
     int attempts = 0;
     attempt_id attempt;           ///< the latest attempt
     runner_id upstream;           ///< upstream of the latest attempt
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -77,7 +77,7 @@
     budget_.on_first_attempt();
     auto& it = open_.add(std::move(facts), std::get<admitted_call>(std::move(verdict)));
     if (!it.call.repeatable && !it.facts.idempotency_key.empty()) {
-        it.at = open_request::phase::claiming;
+        it.phase = open_request::phase_t::claiming;
         it.claimed = true;
         out.emplace_back(ask_claim{id, {it.call.account, it.facts.idempotency_key}, it.call.home});
         return out;
@@ -91,7 +91,7 @@
 {
     actions out;
     auto* found = open_.find(request);
-    if (found == nullptr || found->at != open_request::phase::claiming) {
+    if (found == nullptr || found->phase != open_request::phase_t::claiming) {
         return out;
     }
     auto& it = *found;
@@ -114,7 +114,7 @@
 void dispatcher::enqueue(instant now, open_request& it, actions& out)
 {
     const auto& call = it.call;
-    it.at = open_request::phase::queued;
+    it.phase = open_request::phase_t::queued;
     auto& queue = queues_[call.queue_key];
     const waiting entry{it.facts.id,   call.account, call.weight,
                         call.priority, now,          call.expires_at};
@@ -249,7 +249,7 @@
     }
     const bool elsewhere = router_.choose(now, it.call.query).chosen != nullptr;
     it.retry_at = elsewhere ? now : now + retry_pause(it.attempts, it.call.query.salt);
-    it.at = open_request::phase::backing_off;
+    it.phase = open_request::phase_t::backing_off;
     out.emplace_back(decision{
         it.facts.id, it.call.account, "retry", "", "",
         fmt::format("{} failed, again in {} ms", it.upstream.str(), to_ms(it.retry_at - now))});
@@ -295,14 +295,15 @@
     if (it == nullptr) {
         return out;
     }
-    if (it->at == open_request::phase::running) {
+    if (it->phase == open_request::phase_t::running) {
         open_.end_attempt(it->attempt);
         router_.on_end(now, it->upstream, false);
         out.emplace_back(cancel_attempt{it->attempt});
     }
     out.emplace_back(
         decision{request, it->call.account, "end", it->upstream.str(), "", "the caller went away"});
-    close(request, it->sent || it->sending ? claim_outcome::may_have_run : claim_outcome::not_run,
+    close(request,
+          it->may_have_run || it->sending ? claim_outcome::may_have_run : claim_outcome::not_run,
           out);
     start_queued(now, out);
     return out;
@@ -343,7 +344,7 @@
 {
     const auto& it = open_.at(request);
     out.emplace_back(decision{request, it.call.account, "refuse", "", "", error.text});
-    const auto outcome = it.sent ? claim_outcome::may_have_run : claim_outcome::not_run;
+    const auto outcome = it.may_have_run ? claim_outcome::may_have_run : claim_outcome::not_run;
     out.emplace_back(refuse{request, std::move(error)});
     close(request, outcome, out);
 }
@@ -351,7 +352,7 @@
 void dispatcher::give_up_queued(const request_id& request, refusal why, actions& out)
 {
     const auto& it = open_.at(request);
-    give_up(request, refusal_in_queue(std::move(why), {it.answered, it.sent}), out);
+    give_up(request, refusal_in_queue(std::move(why), {it.answered, it.may_have_run}), out);
 }
 
 /// Ends an admitted request: ends its claim and releases its place in the queue and its account's
@@ -363,7 +364,7 @@
         out.emplace_back(
             end_claim{request, {it.call.account, it.facts.idempotency_key}, it.call.home, outcome});
     }
-    if (it.at == open_request::phase::queued) {
+    if (it.phase == open_request::phase_t::queued) {
         queues_[it.call.queue_key].remove(request, false);
     }
     limits_.release(it.call.account);
--- a/src/request/open_requests.cpp
+++ b/src/request/open_requests.cpp
@@ -6,13 +6,13 @@
 
 failed_attempt open_request::fail(attempt_end how)
 {
-    sent = sent || (sending && !proves_not_run(how));
+    may_have_run = may_have_run || (sending && !proves_not_run(how));
     return {.how = how,
             .attempts = attempts,
             .repeatable = call.repeatable,
             .resumable = facts.streamed && facts.model.has_value(),
             .answered = answered,
-            .may_have_run = sent,
+            .may_have_run = may_have_run,
             .expires_at = call.expires_at};
 }
 
@@ -41,7 +41,7 @@
 void open_requests::begin_attempt(instant now, open_request& it, const runner_id& upstream)
 {
     it.began_at = now;
-    it.at = open_request::phase::running;
+    it.phase = open_request::phase_t::running;
     it.sending = false;
     it.asked_for_pause = false;
     it.attempt = attempt_id{++last_attempt_};
@@ -71,7 +71,7 @@
 {
     std::vector<request_id> out;
     for (const auto& [id, it] : requests_) {
-        if (it.at == open_request::phase::backing_off && it.retry_at <= now) {
+        if (it.phase == open_request::phase_t::backing_off && it.retry_at <= now) {
             out.push_back(id);
         }
     }
@@ -83,7 +83,7 @@
 {
     std::vector<request_id> out;
     for (const auto& [id, it] : requests_) {
-        if (it.at != open_request::phase::running && !it.sent && !it.answered) {
+        if (it.phase != open_request::phase_t::running && !it.may_have_run && !it.answered) {
             out.push_back(id);
         }
     }
