--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -107,7 +107,7 @@
     /// Returns the number of accelerators on this domain's present nodes that are in no serving
     /// group.
     [[nodiscard]] int stranded_accelerators(instant now) const;
-    [[nodiscard]] const remote_domains& others() const { return remote_domains_; }
+    [[nodiscard]] const remote_domains& remote_domain_views() const { return remote_domains_; }
     /// Returns the permanent failure of either log, after which the process must end; empty if
     /// there is none.
     [[nodiscard]] std::optional<reason> failure() const;
--- a/src/daemon/status_report.cpp
+++ b/src/daemon/status_report.cpp
@@ -67,10 +67,10 @@
     return out;
 }
 
-json describe_others(const control_plane& control, instant now)
+json describe_remote_domains(const control_plane& control, instant now)
 {
     auto out = json::object();
-    for (const auto& [id, it] : control.others().all()) {
+    for (const auto& [id, it] : control.remote_domain_views().all()) {
         auto groups = json::array();
         for (const auto& group : it.groups) {
             groups.push_back(describe_group(group));
@@ -101,7 +101,7 @@
              {"domain_log", describe_log(control.domain_log(), now)},
              {"groups", describe_groups(control)},
              {"nodes", describe_nodes(control, of.own().failure_domain, now)},
-             {"other_domains", describe_others(control, now)}};
+             {"other_domains", describe_remote_domains(control, now)}};
     if (control.root_log() != nullptr) {
         out["root_log"] = describe_log(*control.root_log(), now);
     }
