--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -144,7 +144,7 @@
 {
     each->timer.stop();
     calls_.erase(each);
-    pool_.give_back(std::exchange(each->connection, nullptr));
+    pool_.release(std::exchange(each->connection, nullptr));
 }
 
 void runner_orders::on_connected(const call_ptr& each)
@@ -219,7 +219,7 @@
     for (const auto& each : calls) {
         each->timer.stop();
         each->connection->cancel();
-        pool_.give_back(std::exchange(each->connection, nullptr));
+        pool_.release(std::exchange(each->connection, nullptr));
     }
 }
 
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -276,7 +276,7 @@
 {
     stall_timer_.stop();
     context_.targets.on_done(runner_);
-    context_.pool.give_back(std::exchange(connection_, nullptr));
+    context_.pool.release(std::exchange(connection_, nullptr));
 }
 
 } // namespace cedarpoint
--- a/src/io/runner_pool.cpp
+++ b/src/io/runner_pool.cpp
@@ -62,7 +62,7 @@
     return out;
 }
 
-void runner_pool::give_back(runner_connection* connection)
+void runner_pool::release(runner_connection* connection)
 {
     auto& at = connections_[connection->peer()];
     const auto found = at.busy.find(connection);
--- a/src/io/runner_pool.h
+++ b/src/io/runner_pool.h
@@ -26,10 +26,10 @@
     runner_pool& operator=(const runner_pool&) = delete;
 
     /// Returns a connection for one exchange: one that was idle for less than `max_idle`, or a
-    /// new one. The pool owns the connection; pass it to `give_back` after the exchange.
+    /// new one. The pool owns the connection; pass it to `release` after the exchange.
     runner_connection* take(const endpoint& to, milliseconds max_idle);
     runner_connection* take(const endpoint& to) { return take(to, options_.max_idle); }
-    void give_back(runner_connection* connection);
+    void release(runner_connection* connection);
     /// Returns the number of connections to one address, busy and idle.
     [[nodiscard]] std::size_t count(const endpoint& to) const;
     [[nodiscard]] std::size_t count() const;
--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -114,7 +114,7 @@
     handlers.on_head = [status](const http_head& head) { *status = head.status; };
     handlers.on_body = [](const std::string&) {};
     handlers.on_end = [this, connection, status, reports_draining](exchange_end, const reason&) {
-        pool_.give_back(connection);
+        pool_.release(connection);
         announcing_ = false;
         if (*status == 200) {
             drain_acknowledged_ = drain_acknowledged_ || reports_draining;
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -81,7 +81,7 @@
     handlers.on_body = [&](const std::string& bytes) { out.body += bytes; };
     handlers.on_end = [&, connection](exchange_end how, const reason&) {
         out.end = how;
-        pool.give_back(connection);
+        pool.release(connection);
     };
     connection->start(std::move(request), std::move(handlers));
     ASSERT_TRUE(wait_until([&] { return out.end.has_value(); }));
--- a/tests/support/open_loop_callers.cpp
+++ b/tests/support/open_loop_callers.cpp
@@ -63,7 +63,7 @@
     };
     handlers.on_body = [answer](const std::string& bytes) { answer->text += bytes; };
     handlers.on_end = [this, connection, answer, began](exchange_end how, const reason&) {
-        pool_.give_back(connection);
+        pool_.release(connection);
         answer->ended = steady_now();
         answer->took = answer->ended - began;
         answer->status = how == exchange_end::complete ? answer->status : 0;
