--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -120,7 +120,7 @@
     request.connect_timeout = probe_timeout;
     const std::weak_ptr<call> weak = each;
     exchange_handlers handlers;
-    handlers.on_sent = [this, weak] {
+    handlers.on_sending = [this, weak] {
         if (const auto open = weak.lock()) {
             on_connected(open);
         }
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -225,7 +225,7 @@
     // keeps it until none of its member functions runs.
     runner_attempt::handlers out;
     out.may_send = [this] { return has_time_to_send(steady_now()); };
-    out.on_sent = [this] { ++facts_.sent; };
+    out.on_sending = [this] { ++facts_.sent; };
     out.on_event = [this](std::string_view event) { return forward_event(event); };
     out.on_events_forwarded = [this] { apply_backpressure(); };
     out.on_stalled = [this] { on_stalled(); };
--- a/src/entry/runner_attempt.cpp
+++ b/src/entry/runner_attempt.cpp
@@ -46,9 +46,9 @@
 {
     const auto weak = weak_from_this();
     exchange_handlers out;
-    out.on_sent = [weak] {
-        if (const auto self = weak.lock(); self != nullptr && self->on_connected()) {
-            self->on_sent();
+    out.on_sending = [weak] {
+        if (const auto self = weak.lock(); self != nullptr && self->confirm_send()) {
+            self->on_sending();
         }
     };
     out.on_head = [weak](const http_head& head) {
@@ -88,9 +88,9 @@
     }
 }
 
-bool runner_attempt::on_connected()
+bool runner_attempt::confirm_send()
 {
-    const auto why = send_obstacle(steady_now());
+    const auto why = reason_not_to_send(steady_now());
     if (why.empty()) {
         return true;
     }
@@ -99,7 +99,7 @@
     return false;
 }
 
-std::string_view runner_attempt::send_obstacle(instant now)
+std::string_view runner_attempt::reason_not_to_send(instant now)
 {
     if (!handlers_.may_send()) {
         return "too little time is left";
@@ -111,7 +111,7 @@
                : "the runner has asked to be sent nothing";
 }
 
-void runner_attempt::on_sent()
+void runner_attempt::on_sending()
 {
     sent_at_ = steady_now();
     connected_at_ = connection_->connected_at();
@@ -119,7 +119,7 @@
     if (options_.expects_stream) {
         arm_stall_timer(options_.first_event_timeout);
     }
-    handlers_.on_sent();
+    handlers_.on_sending();
 }
 
 bool runner_attempt::is_authentic(const http_head& head) const
--- a/src/entry/runner_attempt.h
+++ b/src/entry/runner_attempt.h
@@ -37,8 +37,8 @@
     };
     /// None is called after `on_end` or `cancel`.
     struct handlers {
-        std::function<bool()> may_send; ///< called once the connection is open
-        std::function<void()> on_sent;
+        std::function<bool()> may_send;   ///< called once the connection is open
+        std::function<void()> on_sending; ///< called just before the request is written
         /// Called with each complete event of a stream. Returns false if it was not forwarded.
         std::function<bool(std::string_view)> on_event;
         std::function<void()> on_events_forwarded; ///< called after all events of one read
@@ -79,11 +79,12 @@
     [[nodiscard]] const std::string& body() const { return body_; }
 
 private:
-    /// Returns false if the request may no longer be sent; the attempt has then ended.
-    [[nodiscard]] bool on_connected();
+    /// Checks once more, when the connection is open, whether the request may be sent. If not, ends
+    /// the attempt and returns false.
+    [[nodiscard]] bool confirm_send();
     /// Returns why the request may not be sent now; empty if it may.
-    [[nodiscard]] std::string_view send_obstacle(instant now);
-    void on_sent();
+    [[nodiscard]] std::string_view reason_not_to_send(instant now);
+    void on_sending();
     void on_head(const http_head& head);
     void on_body(const std::string& bytes);
     void on_event(std::string_view event);
--- a/src/io/runner_connection.cpp
+++ b/src/io/runner_connection.cpp
@@ -71,8 +71,8 @@
     if (!busy_) {
         return;
     }
-    if (const auto handlers = handlers_; handlers->on_sent) {
-        handlers->on_sent();
+    if (const auto handlers = handlers_; handlers->on_sending) {
+        handlers->on_sending();
     }
     if (!busy_) {
         return;
--- a/src/io/runner_connection.h
+++ b/src/io/runner_connection.h
@@ -26,7 +26,8 @@
 
 /// Callbacks to the owner of an exchange. `on_end` is the last one.
 struct exchange_handlers {
-    std::function<void()> on_sent; ///< called just before the request is written
+    /// Called just before the request is written. May cancel the exchange; nothing is written then.
+    std::function<void()> on_sending;
     std::function<void(const http_head&)> on_head;
     std::function<void(std::string)> on_body;
     std::function<void(exchange_end, const reason&)> on_end;
