--- a/include/cedarpoint/request/dispatcher.h
+++ b/include/cedarpoint/request/dispatcher.h
@@ -100,9 +100,10 @@
     /// Reports to the crash detector what the end of the attempt shows about its request.
     void record_attempt_end(instant now, const open_request& it, attempt_end how, actions& out);
     [[nodiscard]] bool retry_may_crash_runner(const open_request& it, attempt_end how) const;
-    void give_up(const request_id& request, refusal error, actions& out);
-    /// As `give_up`, for a request that is in the queue or for which the queue is full.
-    void give_up_queued(const request_id& request, refusal why, actions& out);
+    /// Answers the request with `error` and closes it.
+    void refuse_request(const request_id& request, refusal error, actions& out);
+    /// As `refuse_request`, for a request that is in the queue or for which the queue is full.
+    void refuse_queued_request(const request_id& request, refusal why, actions& out);
     void close(const request_id& request, claim_outcome outcome, actions& out);
 
     dispatch_options options_;
--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -165,15 +165,15 @@
         if (choice.outcome == target_choice::outcome_t::paused) {
             pause_ends_ = choice.pause_ends;
         }
-        give_up(no_target_reason(choice.outcome));
+        fail_request(no_target_reason(choice.outcome));
         return;
     }
     if (!has_time_to_send(now)) {
-        give_up("too little time is left");
+        fail_request("too little time is left");
         return;
     }
     if (facts_.sent > 0 && !context_.budget.take(now, context_.entry_daemons)) {
-        give_up("the retry budget is spent");
+        fail_request("the retry budget is spent");
         return;
     }
     send_to(*choice.target);
@@ -344,10 +344,10 @@
     }
     log_attempt(verdict);
     if (!may_send_again(facts_, verdict.outcome)) {
-        give_up(verdict.why);
+        fail_request(verdict.why);
     }
     else if (retry_may_crash_runner(verdict.outcome)) {
-        give_up("runners have ended under this request");
+        fail_request("runners have ended under this request");
     }
     else {
         try_next();
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -21,7 +21,7 @@
 namespace cedarpoint {
 
 /// Handles one caller's request from its arrival to its final answer: admits it, sends it to a
-/// runner, forwards the answer, and retries at another runner or gives up after a failure. The
+/// runner, forwards the answer, and after a failure retries at another runner or fails it. The
 /// decisions are made by `fleet/request_admission.h`, `fleet/target_ranking.h`,
 /// `fleet/answer_verdict.h`, `fleet/retry_policy.h`, `fleet/stall_rule.h` and
 /// `fleet/windowed_retry_budget.h`; this class calls them, enforces the deadline, and writes the
@@ -70,7 +70,9 @@
     void decide(const attempt_verdict& verdict);
 
     void deliver();
-    void give_up(const std::string& why);
+    /// Ends the request without a successful answer: as `choose_final_answer` decides, aborts the
+    /// stream, forwards the runner's failure, or answers with an error of this daemon.
+    void fail_request(const std::string& why);
     void pass_failure(const std::string& why);
     void abort_stream(const std::string& why);
     void answer(local_reply kind, const std::string& why);
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -36,7 +36,7 @@
     finish("served", "");
 }
 
-void relay::give_up(const std::string& why)
+void relay::fail_request(const std::string& why)
 {
     final_answer_facts known;
     known.has_begun = stream_begun_;
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -99,11 +99,11 @@
         // After `unavailable` the claim may have been granted and the answer lost. Nothing was
         // sent to a runner, so the claim is ended as not run.
         it.claimed = verdict == claim_verdict::unavailable;
-        give_up(request, refusals::not_claimed(verdict), out);
+        refuse_request(request, refusals::not_claimed(verdict), out);
         return out;
     }
     if (now >= it.call.expires_at) {
-        give_up(request, refusals::deadline_passed_while_claiming(), out);
+        refuse_request(request, refusals::deadline_passed_while_claiming(), out);
         return out;
     }
     enqueue(now, it, out);
@@ -123,12 +123,12 @@
     }
     if (const auto victim = queue.find_victim(call.priority)) {
         queue.remove(*victim, false);
-        give_up_queued(*victim, refusals::displaced(), out);
+        refuse_queued_request(*victim, refusals::displaced(), out);
         if (queue.push(entry)) {
             return;
         }
     }
-    give_up_queued(it.facts.id, refusals::queue_full(), out);
+    refuse_queued_request(it.facts.id, refusals::queue_full(), out);
 }
 
 /// Starts queued requests, queue by queue, until the next one in each queue has no target.
@@ -241,7 +241,7 @@
     const auto failed = it.fail(how);
     const auto step = step_after(now, failed, options_.max_attempts);
     if (step == failure_step::refuse || retry_may_crash_runner(it, how) || !budget_.take()) {
-        give_up(it.facts.id, refusal_after(failed), out);
+        refuse_request(it.facts.id, refusal_after(failed), out);
         return;
     }
     if (step == failure_step::resume) {
@@ -315,10 +315,10 @@
     for (auto& [name, queue] : queues_) {
         for (const auto& request : queue.expire(now)) {
             const bool has_deadline = open_.at(request).facts.deadline.has_value();
-            give_up_queued(request,
-                           has_deadline ? refusals::deadline_passed_in_queue()
-                                        : refusals::no_capacity_in_time(),
-                           out);
+            refuse_queued_request(request,
+                                  has_deadline ? refusals::deadline_passed_in_queue()
+                                               : refusals::no_capacity_in_time(),
+                                  out);
         }
     }
     for (const auto& request : open_.due_for_retry(now)) {
@@ -334,13 +334,13 @@
     actions out;
     stopping_ = true;
     for (const auto& request : open_.not_yet_run()) {
-        give_up(request, refusals::stopping(), out);
+        refuse_request(request, refusals::stopping(), out);
     }
     start_queued(now, out);
     return out;
 }
 
-void dispatcher::give_up(const request_id& request, refusal error, actions& out)
+void dispatcher::refuse_request(const request_id& request, refusal error, actions& out)
 {
     const auto& it = open_.at(request);
     out.emplace_back(decision{request, it.call.account, "refuse", "", "", error.text});
@@ -349,10 +349,10 @@
     close(request, outcome, out);
 }
 
-void dispatcher::give_up_queued(const request_id& request, refusal why, actions& out)
+void dispatcher::refuse_queued_request(const request_id& request, refusal why, actions& out)
 {
     const auto& it = open_.at(request);
-    give_up(request, refusal_in_queue(std::move(why), {it.answered, it.may_have_run}), out);
+    refuse_request(request, refusal_in_queue(std::move(why), {it.answered, it.may_have_run}), out);
 }
 
 /// Ends an admitted request: ends its claim and releases its place in the queue and its account's
