--- a/src/entry/relay.cpp
+++ b/src/entry/relay.cpp
@@ -93,7 +93,7 @@
         return;
     }
     reply_->on_caller_disconnected = [this] { on_caller_gone(); };
-    if (!is_admitted()) {
+    if (!admit_request()) {
         return;
     }
     if (is_quarantined()) {
@@ -106,7 +106,7 @@
         ++context_.demand[admission_.model].started;
     }
     context_.budget.on_first_attempt(now);
-    try_next();
+    try_next_target();
 }
 
 void relay::start_deadline_timer(instant now)
@@ -133,7 +133,7 @@
     return admission_.deadline - now >= min_time_to_send;
 }
 
-bool relay::is_admitted()
+bool relay::admit_request()
 {
     const auto& names = context_.platform.headers();
     const auto& fields = request_.fields;
@@ -157,7 +157,7 @@
 
 // --- attempts -----------------------------------------------------------------------------------
 
-void relay::try_next()
+void relay::try_next_target()
 {
     const auto now = steady_now();
     const auto choice = context_.targets.choose(now, admission_.service, admission_.model, tried_);
@@ -305,7 +305,7 @@
 {
     const auto self = shared_from_this();
     abandon_attempt();
-    decide({attempt_outcome::may_have_run, target_effect::none, why});
+    handle_verdict({attempt_outcome::may_have_run, target_effect::none, why});
 }
 
 void relay::abandon_attempt()
@@ -329,17 +329,17 @@
         failed_answer_body_ = attempt_->body();
     }
     record_attempt_end(verdict);
-    decide(verdict);
+    handle_verdict(verdict);
 }
 
-void relay::decide(const attempt_verdict& verdict)
+void relay::handle_verdict(const attempt_verdict& verdict)
 {
     if (ended_) {
         return;
     }
     context_.metrics.count_attempt(std::string{name_of(verdict.outcome)});
     if (verdict.outcome == attempt_outcome::succeeded) {
-        deliver();
+        deliver_answer();
         return;
     }
     log_attempt(verdict);
@@ -350,7 +350,7 @@
         fail_request("runners have ended under this request");
     }
     else {
-        try_next();
+        try_next_target();
     }
 }
 
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -48,8 +48,10 @@
     void start_deadline_timer(instant now);
     [[nodiscard]] bool has_time_to_send(instant now) const;
     [[nodiscard]] std::string make_request(const runner_id& runner) const;
-    [[nodiscard]] bool is_admitted();
-    void try_next();
+    /// Returns false if the request was not admitted; the refusal has been answered then.
+    [[nodiscard]] bool admit_request();
+    /// Sends the request to the best target that was not tried yet, or fails it if there is none.
+    void try_next_target();
     void send_to(const fleet_target& target);
     [[nodiscard]] runner_attempt::options make_options(const fleet_target& target) const;
     [[nodiscard]] runner_attempt::handlers make_handlers();
@@ -67,9 +69,10 @@
     /// Cancels the current attempt and retries at another runner if that is allowed.
     void fail_over(const char* why);
     void abandon_attempt();
-    void decide(const attempt_verdict& verdict);
+    /// Delivers a successful answer; after a failure, retries or fails the request.
+    void handle_verdict(const attempt_verdict& verdict);
 
-    void deliver();
+    void deliver_answer();
     /// Ends the request without a successful answer: as `choose_final_answer` decides, aborts the
     /// stream, forwards the runner's failure, or answers with an error of this daemon.
     void fail_request(const std::string& why);
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void relay::deliver()
+void relay::deliver_answer()
 {
     const auto since_arrival = steady_now() - arrived_;
     if (stream_begun_) {
