--- a/src/daemon/caller_gateway.cpp
+++ b/src/daemon/caller_gateway.cpp
@@ -22,15 +22,15 @@
 } // namespace
 
 caller_gateway::caller_gateway(const settings& own, dispatcher& core, decision_log& decisions,
-                               metrics& figures, hooks hooks)
-    : own_{own}, core_{core}, decisions_{decisions}, figures_{figures}, hooks_{std::move(hooks)},
+                               daemon_metrics& metrics, hooks hooks)
+    : own_{own}, core_{core}, decisions_{decisions}, metrics_{metrics}, hooks_{std::move(hooks)},
       listener_{own.limits,
                 [this](http_request request, std::shared_ptr<http_reply> reply) {
                     on_request(std::move(request), std::move(reply));
                 }},
       request_prefix_{own.id.str() + "-" + random_prefix()}
 {
-    listener_.on_refused = [this](error_code code) { figures_.count_refusal(code); };
+    listener_.on_refused = [this](error_code code) { metrics_.count_refusal(code); };
 }
 
 caller_gateway::~caller_gateway()
@@ -56,7 +56,7 @@
 
 void caller_gateway::refuse_now(http_reply& reply, const refusal& error, const std::string& request)
 {
-    figures_.count_refusal(error.code);
+    metrics_.count_refusal(error.code);
     if (reply.has_begun()) {
         // The status line is sent already, so the error can only be reported as an event.
         reply.write("event: error\ndata: " + to_json(error, request) + "\n\n");
@@ -76,7 +76,7 @@
 
 void caller_gateway::on_request(http_request request, std::shared_ptr<http_reply> reply)
 {
-    figures_.count_request();
+    metrics_.count_request();
     if (!reply->is_open()) {
         return; // the caller closed the connection before the request was read
     }
@@ -183,7 +183,7 @@
 
 void caller_gateway::do_log(const decision& it)
 {
-    figures_.count_step(it.step);
+    metrics_.count_step(it.step);
     decisions_.add(it);
 }
 
--- a/src/daemon/caller_gateway.h
+++ b/src/daemon/caller_gateway.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "cedarpoint/request/dispatcher.h"
+#include "daemon/daemon_metrics.h"
 #include "daemon/decision_log.h"
-#include "daemon/metrics.h"
 #include "daemon/request_reader.h"
 #include "io/http_listener.h"
 #include "io/sse_splitter.h"
@@ -27,8 +27,8 @@
         std::function<void(const check_runner&)> check_runner_end;
     };
 
-    caller_gateway(const settings& own, dispatcher& core, decision_log& decisions, metrics& figures,
-                   hooks hooks);
+    caller_gateway(const settings& own, dispatcher& core, decision_log& decisions,
+                   daemon_metrics& metrics, hooks hooks);
     ~caller_gateway();
     caller_gateway(const caller_gateway&) = delete;
     caller_gateway& operator=(const caller_gateway&) = delete;
@@ -87,7 +87,7 @@
     const settings& own_;
     dispatcher& core_;
     decision_log& decisions_;
-    metrics& figures_;
+    daemon_metrics& metrics_;
     hooks hooks_;
     http_listener listener_;
     std::unordered_map<request_id, exchange> exchanges_;
--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -109,7 +109,7 @@
     const bool fine = it.events->put(bytes, [&](std::string_view event) {
         whole.append(event);
         core_.attempt_event(id);
-        figures_.count_event();
+        metrics_.count_event();
         it.finished = it.finished || is_done_event(event);
     });
     if (!whole.empty()) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -160,7 +160,7 @@
     if (!open_control(why) || !open_mesh(why)) {
         return false;
     }
-    gateway_ = std::make_unique<caller_gateway>(own_, dispatcher_, decisions_, figures_,
+    gateway_ = std::make_unique<caller_gateway>(own_, dispatcher_, decisions_, metrics_,
                                                 make_gateway_hooks());
     operators_ = std::make_unique<operator_api>(*this);
     if (!gateway_->start(own_.callers, why) || !operators_->start(own_.operators, why)) {
@@ -298,15 +298,15 @@
 {
     const auto now = steady_now();
     const auto& state = control_->domain();
-    figures_.set_in_flight(static_cast<double>(dispatcher_.in_flight()));
-    figures_.set_queued(static_cast<double>(dispatcher_.queued()));
-    figures_.set_sessions(static_cast<double>(dispatcher_.sessions()));
-    figures_.set_connections(static_cast<double>(gateway_->connections()));
-    figures_.set_revision(static_cast<double>(state.in_force().value));
-    figures_.set_leader(control_->domain_log().raft().is_leader());
+    metrics_.set_in_flight(static_cast<double>(dispatcher_.in_flight()));
+    metrics_.set_queued(static_cast<double>(dispatcher_.queued()));
+    metrics_.set_sessions(static_cast<double>(dispatcher_.sessions()));
+    metrics_.set_connections(static_cast<double>(gateway_->connections()));
+    metrics_.set_revision(static_cast<double>(state.in_force().value));
+    metrics_.set_leader(control_->domain_log().raft().is_leader());
     const auto grant = control_->granted_at(now);
     constexpr double us = 1e6;
-    figures_.set_grant_age(grant ? static_cast<double>((now - *grant).count()) / us : -1);
+    metrics_.set_grant_age(grant ? static_cast<double>((now - *grant).count()) / us : -1);
     std::map<std::string, int> by_state;
     for (const auto& name : {"loading", "serving", "draining", "stopped", "lost"}) {
         by_state[name] = 0;
@@ -315,9 +315,9 @@
         ++by_state[std::string{name_of(it.state)}];
     }
     for (const auto& [name, n] : by_state) {
-        figures_.set_groups(name, n);
+        metrics_.set_groups(name, n);
     }
-    figures_.set_stranded(control_->stranded_accelerators(now));
+    metrics_.set_stranded(control_->stranded_accelerators(now));
 }
 
 void daemon::stop()
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -4,8 +4,8 @@
 #include "cedarpoint/core/peer_clocks.h"
 #include "cedarpoint/request/dispatcher.h"
 #include "daemon/caller_gateway.h"
+#include "daemon/daemon_metrics.h"
 #include "daemon/decision_log.h"
-#include "daemon/metrics.h"
 #include "daemon/operator_api.h"
 #include "daemon/runner_client.h"
 #include "io/disk_watch.h"
@@ -40,7 +40,7 @@
     [[nodiscard]] control_plane& control() { return *control_; }
     [[nodiscard]] const dispatcher& requests() const { return dispatcher_; }
     [[nodiscard]] const decision_log& decisions() const { return decisions_; }
-    [[nodiscard]] metrics& figures() { return figures_; }
+    [[nodiscard]] daemon_metrics& metrics() { return metrics_; }
     [[nodiscard]] const settings& own() const { return own_; }
     [[nodiscard]] endpoint callers() const { return gateway_->address(); }
     [[nodiscard]] endpoint operators() const { return operators_->address(); }
@@ -65,7 +65,7 @@
 
     settings own_;
     posix_file_system files_;
-    metrics figures_;
+    daemon_metrics metrics_;
     decision_log decisions_;
     dispatcher dispatcher_;
     peer_clocks peer_clocks_;
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/daemon_metrics.cpp
@@ -1,8 +1,8 @@
-#include "daemon/metrics.h"
+#include "daemon/daemon_metrics.h"
 
 namespace cedarpoint {
 
-metrics::metrics()
+daemon_metrics::daemon_metrics()
     : refusals_{registry_.add_counters("cedarpoint_refusals_total",
                                        "Requests that got an error from cedarpoint, by code")},
       decisions_{registry_.add_counters("cedarpoint_decisions_total",
@@ -27,17 +27,17 @@
 {
 }
 
-void metrics::count_refusal(error_code code)
+void daemon_metrics::count_refusal(error_code code)
 {
     refusals_.Add({{"code", std::string{describe(code).name}}}).Increment();
 }
 
-void metrics::count_step(const std::string& step)
+void daemon_metrics::count_step(const std::string& step)
 {
     decisions_.Add({{"step", step}}).Increment();
 }
 
-void metrics::set_groups(const std::string& state, double n)
+void daemon_metrics::set_groups(const std::string& state, double n)
 {
     groups_.Add({{"state", state}}).Set(n);
 }
--- a/src/daemon/metrics.h
+++ b/src/daemon/daemon_metrics.h
@@ -10,9 +10,9 @@
 namespace cedarpoint {
 
 /// The metrics of a daemon with a list of peers.
-class metrics {
+class daemon_metrics {
 public:
-    metrics();
+    daemon_metrics();
 
     void count_request() { requests_.Increment(); }
     void count_refusal(error_code code);
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -159,7 +159,7 @@
 
 void operator_api::get_metrics(const http_request& /*request*/, const reply_ptr& reply)
 {
-    answer_text(*reply, status::ok, "text/plain; version=0.0.4", owner_.figures().text());
+    answer_text(*reply, status::ok, "text/plain; version=0.0.4", owner_.metrics().text());
 }
 
 void operator_api::get_health(const http_request& /*request*/, const reply_ptr& reply)
