--- a/src/daemon/caller_gateway.cpp
+++ b/src/daemon/caller_gateway.cpp
@@ -21,14 +21,15 @@
 
 } // namespace
 
-caller_gateway::caller_gateway(const settings& own, dispatcher& core, decision_log& decisions,
-                               daemon_metrics& metrics, hooks hooks)
-    : own_{own}, core_{core}, decisions_{decisions}, metrics_{metrics}, hooks_{std::move(hooks)},
-      listener_{own.limits,
+caller_gateway::caller_gateway(const settings& daemon_settings, dispatcher& request_dispatcher,
+                               decision_log& decisions, daemon_metrics& metrics, hooks hooks)
+    : settings_{daemon_settings}, dispatcher_{request_dispatcher},
+      decisions_{decisions}, metrics_{metrics}, hooks_{std::move(hooks)},
+      listener_{daemon_settings.limits,
                 [this](http_request request, std::shared_ptr<http_reply> reply) {
                     on_request(std::move(request), std::move(reply));
                 }},
-      request_prefix_{own.id.str() + "-" + random_prefix()}
+      request_prefix_{daemon_settings.id.str() + "-" + random_prefix()}
 {
     listener_.on_refused = [this](error_code code) { metrics_.count_refusal(code); };
 }
@@ -54,7 +55,8 @@
     listener_.stop();
 }
 
-void caller_gateway::refuse_now(http_reply& reply, const refusal& error, const std::string& request)
+void caller_gateway::send_refusal(http_reply& reply, const refusal& error,
+                                  const std::string& request)
 {
     metrics_.count_refusal(error.code);
     if (reply.has_begun()) {
@@ -83,17 +85,17 @@
     const request_id id{request_prefix_ + "-" + std::to_string(++last_request_)};
     const auto path = request.target.substr(0, request.target.find('?'));
     if (path == "/healthz" || path == "/readyz") {
-        const bool fine = path == "/healthz" || hooks_.is_ready();
-        http_head head{fine ? 200 : 503, {}};
+        const bool ok = path == "/healthz" || hooks_.is_ready();
+        http_head head{ok ? 200 : 503, {}};
         head.fields.add("Content-Type", "text/plain");
-        reply->send(std::move(head), fine ? "ok\n" : "not ready\n");
+        reply->send(std::move(head), ok ? "ok\n" : "not ready\n");
         return;
     }
     if (!hooks_.is_ready()) {
-        refuse_now(*reply,
-                   {error_code::shutting_down, run_state::not_run,
-                    "this daemon does not take requests now", milliseconds{1000}},
-                   id.str());
+        send_refusal(*reply,
+                     {error_code::shutting_down, run_state::not_run,
+                      "this daemon does not take requests now", milliseconds{1000}},
+                     id.str());
         return;
     }
     if (path == "/v1/models") {
@@ -103,22 +105,22 @@
     refusal error;
     auto facts = read_facts(steady_now() - request.waited, request, id, error);
     if (!facts) {
-        refuse_now(*reply, error, id.str());
+        send_refusal(*reply, error, id.str());
         return;
     }
     reply->on_caller_disconnected = [this, id] {
-        perform(core_.caller_gone(steady_now(), id));
+        perform(dispatcher_.caller_gone(steady_now(), id));
         exchanges_.erase(id);
     };
     facts->fingerprint = make_fingerprint(request, *facts);
     exchanges_[id] = {std::move(request), std::move(reply), facts->streamed, {}};
-    perform(core_.submit(steady_now(), std::move(*facts)));
+    perform(dispatcher_.submit(steady_now(), std::move(*facts)));
 }
 
 std::optional<request_fingerprint>
 caller_gateway::make_fingerprint(const http_request& request, const request_facts& facts) const
 {
-    const auto* account = core_.authenticate(facts.key_digest);
+    const auto* account = dispatcher_.authenticate(facts.key_digest);
     if (account == nullptr) {
         return {}; // the request will be refused for its key
     }
@@ -129,16 +131,16 @@
 void caller_gateway::answer_models(const http_request& request, http_reply& reply)
 {
     const auto digest = bearer_digest(request);
-    const auto* account = digest ? core_.authenticate(*digest) : nullptr;
+    const auto* account = digest ? dispatcher_.authenticate(*digest) : nullptr;
     if (account == nullptr) {
-        refuse_now(reply,
-                   {error_code::unauthorized, run_state::not_run, "no account has this key", {}},
-                   "");
+        send_refusal(reply,
+                     {error_code::unauthorized, run_state::not_run, "no account has this key", {}},
+                     "");
         return;
     }
     auto data = nlohmann::json::array();
     std::string last;
-    for (const auto& it : core_.config()->routes) {
+    for (const auto& it : dispatcher_.config()->routes) {
         if ((!it.account || *it.account == account->id) && it.model.str() != last) {
             last = it.model.str();
             data.push_back({{"id", last}, {"object", "model"}, {"owned_by", "cedarpoint"}});
@@ -165,10 +167,10 @@
                     do_refuse(what);
                 }
                 else if constexpr (std::is_same_v<type, ask_claim>) {
-                    hooks_.ask_claim_of(what);
+                    hooks_.begin_claim(what);
                 }
                 else if constexpr (std::is_same_v<type, end_claim>) {
-                    hooks_.end_claim_of(what);
+                    hooks_.finish_claim(what);
                 }
                 else if constexpr (std::is_same_v<type, check_runner>) {
                     hooks_.check_runner_end(what);
@@ -197,7 +199,7 @@
     exchanges_.erase(found);
     reply->on_caller_disconnected = nullptr;
     reply->on_drained = nullptr;
-    refuse_now(*reply, it.error, it.request.str());
+    send_refusal(*reply, it.error, it.request.str());
 }
 
 http_request caller_gateway::make_upstream_request(const start_attempt& it,
@@ -229,7 +231,7 @@
     from.attempt = it.attempt;
     const auto id = it.attempt;
     upstream_call::handlers handlers;
-    handlers.on_sending = [this, id] { core_.attempt_sending(id); };
+    handlers.on_sending = [this, id] { dispatcher_.attempt_sending(id); };
     handlers.on_head = [this, id](const http_head& head) { on_head(id, head); };
     handlers.on_body = [this, id](std::string bytes) { on_body(id, std::move(bytes)); };
     handlers.on_end = [this, id](call_end how, const reason& why) { on_end(id, how, why); };
@@ -238,18 +240,18 @@
     made.upstream = it.upstream;
     made.call = std::make_unique<upstream_call>(it.address, make_upstream_request(it, from),
                                                 call_options{}, std::move(handlers));
-    auto& kept = attempts_[id.value] = std::move(made);
+    auto& started = attempts_[id.value] = std::move(made);
     from.reply->on_drained = [this, id] {
         const auto found = attempts_.find(id.value);
         if (found != attempts_.end()) {
             const auto to = exchanges_.find(found->second.request);
             if (to != exchanges_.end() &&
-                to->second.reply->buffered() < own_.limits.max_buffered_bytes / 2) {
+                to->second.reply->buffered() < settings_.limits.max_buffered_bytes / 2) {
                 found->second.call->resume();
             }
         }
     };
-    kept.call->start();
+    started.call->start();
 }
 
 void caller_gateway::do_cancel(const cancel_attempt& it)
--- a/src/daemon/caller_gateway.h
+++ b/src/daemon/caller_gateway.h
@@ -22,13 +22,13 @@
 public:
     struct hooks {
         std::function<bool()> is_ready;
-        std::function<void(const ask_claim&)> ask_claim_of;
-        std::function<void(const end_claim&)> end_claim_of;
+        std::function<void(const ask_claim&)> begin_claim;
+        std::function<void(const end_claim&)> finish_claim;
         std::function<void(const check_runner&)> check_runner_end;
     };
 
-    caller_gateway(const settings& own, dispatcher& core, decision_log& decisions,
-                   daemon_metrics& metrics, hooks hooks);
+    caller_gateway(const settings& daemon_settings, dispatcher& request_dispatcher,
+                   decision_log& decisions, daemon_metrics& metrics, hooks hooks);
     ~caller_gateway();
     caller_gateway(const caller_gateway&) = delete;
     caller_gateway& operator=(const caller_gateway&) = delete;
@@ -57,17 +57,17 @@
         std::unique_ptr<upstream_call> call;
         std::unique_ptr<sse_splitter> events; ///< set if the answer is an event stream
         http_head head;
-        std::string kept; ///< body bytes of an answer that is sent only when complete
-        bool relaying = false;
-        bool finished = false; ///< the last event was forwarded
+        std::string buffered_body; ///< of an answer that is sent only when complete
+        bool relaying = false;     ///< part of a plain body was sent to the caller
+        bool finished = false;     ///< the last event was forwarded
     };
 
     void on_request(http_request request, std::shared_ptr<http_reply> reply);
     [[nodiscard]] std::optional<request_fingerprint>
     make_fingerprint(const http_request& request, const request_facts& facts) const;
-    void note_signals(attempt_id id, const attempt& it);
+    void record_signals(attempt_id id, const attempt& it);
     void answer_models(const http_request& request, http_reply& reply);
-    void refuse_now(http_reply& reply, const refusal& error, const std::string& request);
+    void send_refusal(http_reply& reply, const refusal& error, const std::string& request);
     void do_start(const start_attempt& it);
     void do_cancel(const cancel_attempt& it);
     void do_refuse(const refuse& it);
@@ -78,14 +78,16 @@
     void relay_events(attempt_id id, attempt& it, exchange& to, const std::string& bytes);
     void relay_plain(attempt_id id, attempt& it, exchange& to, std::string bytes);
     void begin_answer(attempt_id id, const attempt& it, exchange& to);
+    /// Stops reading from the runner while too many bytes are buffered for the caller.
     void apply_backpressure(attempt& it, const exchange& to);
     void finish(attempt_id id, attempt& it);
+    /// Forgets an attempt that has ended.
     void retire(attempt_id id);
     [[nodiscard]] http_request make_upstream_request(const start_attempt& it,
                                                      const exchange& from) const;
 
-    const settings& own_;
-    dispatcher& core_;
+    const settings& settings_;
+    dispatcher& dispatcher_;
     decision_log& decisions_;
     daemon_metrics& metrics_;
     hooks hooks_;
--- a/src/daemon/caller_gateway_answers.cpp
+++ b/src/daemon/caller_gateway_answers.cpp
@@ -16,7 +16,7 @@
 
 /// Largest answer in bytes that is buffered until it is complete. The bytes of larger answers are
 /// forwarded as they arrive; see docs/API.md.
-constexpr std::size_t max_whole_answer = 16 << 20;
+constexpr std::size_t max_buffered_answer_bytes = 16 << 20;
 constexpr int first_server_error = 500;
 
 /// Returns a runner's head without hop-by-hop fields and without fields meant for cedarpoint, and
@@ -40,23 +40,23 @@
     auto& it = attempts_.at(id.value);
     it.head = head;
     const auto echoed = head.fields.get(engine_header::attempt);
-    const auto own = it.request.str() + "/" + std::to_string(id.value);
-    if (!echoed.empty() && echoed != own) {
+    const auto expected = it.request.str() + "/" + std::to_string(id.value);
+    if (!echoed.empty() && echoed != expected) {
         it.call->cancel();
         on_end(id, call_end::cut, {"answer", it.upstream.str(), "it is another request's answer"});
         return;
     }
-    note_signals(id, it);
+    record_signals(id, it);
     if (head.fields.has(engine_header::not_run)) {
         it.call->cancel();
         retire(id);
-        perform(core_.attempt_ended(steady_now(), id, attempt_end::refused));
+        perform(dispatcher_.attempt_ended(steady_now(), id, attempt_end::refused));
         return;
     }
-    if (head.status >= first_server_error && core_.must_report_server_error(id)) {
+    if (head.status >= first_server_error && dispatcher_.must_report_server_error(id)) {
         it.call->cancel();
         retire(id);
-        perform(core_.attempt_ended(steady_now(), id, attempt_end::server_error));
+        perform(dispatcher_.attempt_ended(steady_now(), id, attempt_end::server_error));
         return;
     }
     const auto& to = exchanges_.at(it.request);
@@ -70,13 +70,13 @@
     }
 }
 
-void caller_gateway::note_signals(attempt_id id, const attempt& it)
+void caller_gateway::record_signals(attempt_id id, const attempt& it)
 {
     const auto& fields = it.head.fields;
     const auto signals = read_answer_signals(
         {it.head.status, fields.values(engine_header::rate_limit), fields.values(retry_after_field),
          fields.values(engine_header::leaving)});
-    const auto news = core_.attempt_signals(steady_now(), id, signals);
+    const auto news = dispatcher_.attempt_signals(steady_now(), id, signals);
     log_signals(it.upstream, signals, news, it.request.str());
 }
 
@@ -85,7 +85,7 @@
     if (to.reply->has_begun()) {
         return;
     }
-    core_.attempt_answering(id);
+    dispatcher_.attempt_answering(id);
     auto head = head_for_caller(it.head, it.request);
     to.reply->begin(std::move(head));
 }
@@ -106,9 +106,9 @@
                                   const std::string& bytes)
 {
     std::string whole;
-    const bool fine = it.events->put(bytes, [&](std::string_view event) {
+    const bool fits = it.events->put(bytes, [&](std::string_view event) {
         whole.append(event);
-        core_.attempt_event(id);
+        dispatcher_.attempt_event(id);
         metrics_.count_event();
         it.finished = it.finished || is_done_event(event);
     });
@@ -117,7 +117,7 @@
         to.reply->write(whole);
         apply_backpressure(it, to);
     }
-    if (!fine) {
+    if (!fits) {
         it.call->cancel();
         on_end(id, call_end::cut, {"answer", it.upstream.str(), "an event is too large"});
     }
@@ -126,12 +126,12 @@
 void caller_gateway::relay_plain(attempt_id id, attempt& it, exchange& to, std::string bytes)
 {
     if (!it.relaying) {
-        it.kept += bytes;
-        if (it.kept.size() <= max_whole_answer) {
+        it.buffered_body += bytes;
+        if (it.buffered_body.size() <= max_buffered_answer_bytes) {
             return;
         }
         it.relaying = true;
-        bytes = std::exchange(it.kept, {});
+        bytes = std::exchange(it.buffered_body, {});
         begin_answer(id, it, to);
     }
     to.reply->write(bytes);
@@ -140,7 +140,7 @@
 
 void caller_gateway::apply_backpressure(attempt& it, const exchange& to)
 {
-    if (to.reply->buffered() > own_.limits.max_buffered_bytes) {
+    if (to.reply->buffered() > settings_.limits.max_buffered_bytes) {
         it.call->pause();
     }
 }
@@ -171,12 +171,12 @@
         reply->abort();
         exchanges_.erase(request);
         retire(id);
-        perform(core_.caller_gone(steady_now(), request)); // its connection is closed
+        perform(dispatcher_.caller_gone(steady_now(), request)); // its connection is closed
         return;
     }
     retire(id);
     const auto end = how == call_end::unsent ? attempt_end::unsent : attempt_end::cut;
-    perform(core_.attempt_ended(steady_now(), id, end));
+    perform(dispatcher_.attempt_ended(steady_now(), id, end));
 }
 
 void caller_gateway::finish(attempt_id id, attempt& it)
@@ -194,12 +194,12 @@
     }
     else {
         auto head = head_for_caller(it.head, it.request);
-        reply->send(std::move(head), it.kept);
+        reply->send(std::move(head), it.buffered_body);
     }
     it.call->cancel();
     exchanges_.erase(it.request);
     retire(id);
-    perform(core_.attempt_ended(steady_now(), id, attempt_end::complete));
+    perform(dispatcher_.attempt_ended(steady_now(), id, attempt_end::complete));
 }
 
 } // namespace cedarpoint
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -46,25 +46,26 @@
         .write();
 }
 
-dispatch_options dispatch_options_of(const settings& own)
+dispatch_options dispatch_options_of(const settings& in)
 {
     dispatch_options out;
     // The load balancer distributes requests evenly, so each daemon enforces an equal share of each
     // limit.
-    out.limit_share = own.peers.empty() ? 1.0 : 1.0 / static_cast<double>(own.peers.size());
+    out.limit_share = in.peers.empty() ? 1.0 : 1.0 / static_cast<double>(in.peers.size());
     // No leader distributes rates in this setup: each daemon issues its own permits, starting at a
     // random time. A quarter of each rate is left unused, because permits of several daemons can
     // coincide.
     out.permits.rate_fraction = 0.75;
-    out.permits.daemons = std::max<std::size_t>(own.peers.size(), 1);
-    out.permits.seed = hash_of(own.id.str());
+    out.permits.daemons = std::max<std::size_t>(in.peers.size(), 1);
+    out.permits.seed = hash_of(in.id.str());
     return out;
 }
 
 } // namespace
 
-daemon::daemon(settings own)
-    : own_{std::move(own)}, dispatcher_{own_.failure_domain, dispatch_options_of(own_)},
+daemon::daemon(settings daemon_settings)
+    : settings_{std::move(daemon_settings)}, dispatcher_{settings_.failure_domain,
+                                                         dispatch_options_of(settings_)},
       runner_ends_{
           [this](const runner_id& runner, bool refused) { on_runner_end_checked(runner, refused); }}
 {
@@ -72,9 +73,9 @@
 
 daemon::~daemon() = default;
 
-std::unique_ptr<daemon> daemon::start(settings own, reason& why)
+std::unique_ptr<daemon> daemon::start(settings daemon_settings, reason& why)
 {
-    std::unique_ptr<daemon> out{new daemon{std::move(own)}};
+    std::unique_ptr<daemon> out{new daemon{std::move(daemon_settings)}};
     if (!out->open(why)) {
         return {};
     }
@@ -83,14 +84,14 @@
 
 bool daemon::open_mesh(reason& why)
 {
-    if (!own_.daemons) {
+    if (!settings_.daemons) {
         return true;
     }
     std::string secret;
-    if (!own_.curve_secret_file.empty()) {
-        const auto text = files_.read(own_.curve_secret_file, why);
+    if (!settings_.curve_secret_file.empty()) {
+        const auto text = files_.read(settings_.curve_secret_file, why);
         if (!text || text->size() < key_digits) {
-            why = {"read key", own_.curve_secret_file,
+            why = {"read key", settings_.curve_secret_file,
                    "expected a Z85-encoded key of 40 characters"};
             return false;
         }
@@ -105,7 +106,7 @@
         }
         control_->receive(steady_now(), in);
     });
-    return mesh_->start(own_, secret, why);
+    return mesh_->start(settings_, secret, why);
 }
 
 control_hooks daemon::make_control_hooks()
@@ -126,7 +127,7 @@
 {
     caller_gateway::hooks out;
     out.is_ready = [this] { return is_ready(); };
-    out.ask_claim_of = [this](const ask_claim& ask) {
+    out.begin_claim = [this](const ask_claim& ask) {
         control_->begin_claim(
             steady_now(), ask, [this, request = ask.request](claim_verdict verdict) {
                 gateway_->perform(dispatcher_.claim_answered(steady_now(), request, verdict));
@@ -135,17 +136,17 @@
     out.check_runner_end = [this](const check_runner& it) {
         runner_ends_.check(it.runner, it.address);
     };
-    out.end_claim_of = [this](const end_claim& end) { control_->finish_claim(steady_now(), end); };
+    out.finish_claim = [this](const end_claim& end) { control_->finish_claim(steady_now(), end); };
     return out;
 }
 
 bool daemon::open_control(reason& why)
 {
     control_plane::options options;
-    options.own = own_;
+    options.own = settings_;
     options.seed = random_seed();
     options.clock = steady_now;
-    file_system* files = own_.data_folder.empty() ? nullptr : &files_;
+    file_system* files = settings_.data_folder.empty() ? nullptr : &files_;
     runners_ =
         std::make_unique<runner_client>([this](const runner_id& id, const runner_report& it) {
             control_->on_report(steady_now(), id, it);
@@ -160,17 +161,17 @@
     if (!open_control(why) || !open_mesh(why)) {
         return false;
     }
-    gateway_ = std::make_unique<caller_gateway>(own_, dispatcher_, decisions_, metrics_,
+    gateway_ = std::make_unique<caller_gateway>(settings_, dispatcher_, decisions_, metrics_,
                                                 make_gateway_hooks());
     operators_ = std::make_unique<operator_api>(*this);
-    if (!gateway_->start(own_.callers, why) || !operators_->start(own_.operators, why)) {
+    if (!gateway_->start(settings_.callers, why) || !operators_->start(settings_.operators, why)) {
         return false;
     }
     QObject::connect(&timer_, &QTimer::timeout, [this] { tick(); });
     timer_.start(tick_ms);
     log_line("started")
-        .with("daemon", own_.id.str())
-        .with("failure_domain", own_.failure_domain.str())
+        .with("daemon", settings_.id.str())
+        .with("failure_domain", settings_.failure_domain.str())
         .with("callers", callers().str())
         .with("operators", operators().str())
         .write();
@@ -217,7 +218,7 @@
 void daemon::poll_runners(instant now)
 {
     if (now >= next_poll_) {
-        next_poll_ = now + own_.watch_interval;
+        next_poll_ = now + settings_.watch_interval;
         runners_->poll_states(control_->watched(now));
     }
 }
@@ -259,7 +260,7 @@
     auto known = dispatcher_.known_crashes();
     for (auto& [request, history] : known) {
         for (auto& crash : history.crashes) {
-            crash.daemon = crash.daemon.empty() ? own_.id : crash.daemon;
+            crash.daemon = crash.daemon.empty() ? settings_.id : crash.daemon;
         }
     }
     out.mutable_crashes()->set_stamp_us(now.time_since_epoch().count());
@@ -326,7 +327,7 @@
         return;
     }
     stopping_ = true;
-    stop_by_ = steady_now() + own_.stop_bound;
+    stop_deadline_ = steady_now() + settings_.stop_bound;
     log_line("stopping").with("in_flight", dispatcher_.in_flight()).write();
     gateway_->perform(dispatcher_.begin_stop(steady_now()));
     gateway_->stop_listening();
@@ -338,7 +339,7 @@
         return;
     }
     const bool idle = dispatcher_.in_flight() == 0 && gateway_->connections() == 0;
-    if (!idle && steady_now() < stop_by_) {
+    if (!idle && steady_now() < stop_deadline_) {
         return;
     }
     ended_ = true;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -21,11 +21,12 @@
 
 namespace cedarpoint {
 
-/// A running daemon with a list of peers: the core with its sockets, files and timers.
+/// A running daemon with a list of peers. Owns the control plane, the dispatcher, and the sockets,
+/// files and timers that drive them.
 class daemon {
 public:
     /// Returns null and sets `why` if a listener or the data folder can't be opened.
-    static std::unique_ptr<daemon> start(settings own, reason& why);
+    static std::unique_ptr<daemon> start(settings daemon_settings, reason& why);
     ~daemon();
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
@@ -41,12 +42,12 @@
     [[nodiscard]] const dispatcher& requests() const { return dispatcher_; }
     [[nodiscard]] const decision_log& decisions() const { return decisions_; }
     [[nodiscard]] daemon_metrics& metrics() { return metrics_; }
-    [[nodiscard]] const settings& own() const { return own_; }
+    [[nodiscard]] const settings& daemon_settings() const { return settings_; }
     [[nodiscard]] endpoint callers() const { return gateway_->address(); }
     [[nodiscard]] endpoint operators() const { return operators_->address(); }
 
 private:
-    explicit daemon(settings own);
+    explicit daemon(settings daemon_settings);
     bool open(reason& why);
     bool open_control(reason& why);
     bool open_mesh(reason& why);
@@ -63,7 +64,7 @@
     void publish_crashes(instant now);
     void check_stop();
 
-    settings own_;
+    settings settings_;
     posix_file_system files_;
     daemon_metrics metrics_;
     decision_log decisions_;
@@ -80,7 +81,7 @@
     instant next_poll_;
     instant next_metrics_;
     instant next_publish_;
-    instant stop_by_;
+    instant stop_deadline_;
     revision view_revision_;
     bool stopping_ = false;
     bool ended_ = false;
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -129,9 +129,10 @@
     const auto path = request.target.substr(0, request.target.find('?'));
     bool path_known = false;
     for (const auto& it : table) {
-        const std::string_view own{it.path};
-        const bool matches =
-            own.back() == '/' ? path.size() > own.size() && path.starts_with(own) : path == own;
+        const std::string_view pattern{it.path};
+        const bool matches = pattern.back() == '/'
+                                 ? path.size() > pattern.size() && path.starts_with(pattern)
+                                 : path == pattern;
         path_known = path_known || matches;
         if (matches && request.method == it.method) {
             if (!it.open && !is_allowed(request)) {
@@ -149,7 +150,7 @@
 
 bool operator_api::is_allowed(const http_request& request) const
 {
-    const auto& wanted = owner_.own().operator_key_sha256;
+    const auto& wanted = owner_.daemon_settings().operator_key_sha256;
     if (wanted.empty()) {
         return true;
     }
@@ -188,8 +189,8 @@
 
 void operator_api::get_explanation(const http_request& request, const reply_ptr& reply)
 {
-    constexpr std::string_view before = "/v1/explain/";
-    const request_id id{request.target.substr(before.size())};
+    constexpr std::string_view prefix = "/v1/explain/";
+    const request_id id{request.target.substr(prefix.size())};
     auto steps = json::array();
     for (const auto& it : owner_.decisions().of(id)) {
         steps.push_back({{"wall_ms", it.wall_ms},
--- a/src/daemon/request_reader.cpp
+++ b/src/daemon/request_reader.cpp
@@ -115,9 +115,9 @@
         error.text = "\"stream\" must be true or false";
         return false;
     }
-    const char* wanted = request.target.starts_with("/v1/chat/") ? "messages" : "prompt";
-    const auto prompt = body->find(wanted);
-    const bool is_chat = wanted[0] == 'm';
+    const char* prompt_field = request.target.starts_with("/v1/chat/") ? "messages" : "prompt";
+    const auto prompt = body->find(prompt_field);
+    const bool is_chat = prompt_field[0] == 'm';
     if (prompt == body->end() ||
         (is_chat ? !prompt->is_array() || prompt->empty() : !prompt->is_string())) {
         error.text = is_chat ? "\"messages\" must be an array that is not empty"
--- a/src/daemon/request_reader.h
+++ b/src/daemon/request_reader.h
@@ -20,8 +20,8 @@
 /// Returns true for the paths that are served by models.
 bool is_model_path(std::string_view path);
 
-/// Extracts what the core needs from a request. Returns nothing and sets `error` if the request is
-/// not valid.
+/// Extracts the properties that the dispatcher needs from a request. Returns nothing and sets
+/// `error` if the request is not valid.
 std::optional<request_facts> read_facts(instant now, const http_request& request, request_id id,
                                         refusal& error);
 
--- a/src/daemon/status_report.cpp
+++ b/src/daemon/status_report.cpp
@@ -87,8 +87,8 @@
 {
     const auto& control = of.control();
     const auto grant = control.granted_at(now);
-    json out{{"daemon", of.own().id.str()},
-             {"failure_domain", of.own().failure_domain.str()},
+    json out{{"daemon", of.daemon_settings().id.str()},
+             {"failure_domain", of.daemon_settings().failure_domain.str()},
              {"ready", of.is_ready()},
              {"stopping", of.is_stopping()},
              {"revision", control.domain().in_force().value},
@@ -100,7 +100,7 @@
                {"sessions", of.requests().sessions()}}},
              {"domain_log", describe_log(control.domain_log(), now)},
              {"groups", describe_groups(control)},
-             {"nodes", describe_nodes(control, of.own().failure_domain, now)},
+             {"nodes", describe_nodes(control, of.daemon_settings().failure_domain, now)},
              {"other_domains", describe_remote_domains(control, now)}};
     if (control.root_log() != nullptr) {
         out["root_log"] = describe_log(*control.root_log(), now);
