--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -54,7 +54,7 @@
 class control_plane {
 public:
     struct options {
-        settings own;
+        settings daemon_settings;
         raft_options raft;
         control_options control;
         std::uint64_t seed = 1; ///< for election timeouts and call ids; must differ at each start
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -40,7 +40,7 @@
                [this](const daemon_id& to, wire::envelope it) { send(to, std::move(it)); }},
               options_.seed},
       controller_{options_.control, make_best_fit_placement()},
-      watch_{absent_after_intervals * duration{options_.own.watch_interval}}
+      watch_{absent_after_intervals * duration{options_.daemon_settings.watch_interval}}
 {
 }
 
@@ -49,8 +49,8 @@
 std::unique_ptr<control_plane> control_plane::open(instant now, options options, file_system* files,
                                                    control_hooks hooks, reason& why)
 {
-    options.control.domain = options.own.failure_domain;
-    options.control.grant_ttl = options.own.grant_ttl;
+    options.control.domain = options.daemon_settings.failure_domain;
+    options.control.grant_ttl = options.daemon_settings.grant_ttl;
     std::unique_ptr<control_plane> out{new control_plane{std::move(options), std::move(hooks)}};
     if (!out->open_logs(now, files, why)) {
         return {};
@@ -60,12 +60,12 @@
 
 std::string control_plane::domain_log_name() const
 {
-    return "domain-" + options_.own.failure_domain.str();
+    return "domain-" + options_.daemon_settings.failure_domain.str();
 }
 
 bool control_plane::open_logs(instant now, file_system* files, reason& why)
 {
-    const auto& own = options_.own;
+    const auto& settings = options_.daemon_settings;
     wire::membership domain_members;
     wire::membership root_members;
     const auto add = [](wire::membership& to, const daemon_id& id, bool voter) {
@@ -73,12 +73,12 @@
         it->set_id(id.str());
         it->set_voter(voter);
     };
-    if (own.peers.empty()) {
-        add(domain_members, own.id, true);
-        add(root_members, own.id, true);
+    if (settings.peers.empty()) {
+        add(domain_members, settings.id, true);
+        add(root_members, settings.id, true);
     }
-    for (const auto& it : own.peers) {
-        if (it.failure_domain == own.failure_domain) {
+    for (const auto& it : settings.peers) {
+        if (it.failure_domain == settings.failure_domain) {
             add(domain_members, it.id, it.domain_voter);
         }
         if (it.root_voter) {
@@ -87,7 +87,7 @@
     }
     const auto& all = root_members.members();
     if (std::any_of(all.begin(), all.end(),
-                    [&](const auto& e) { return e.id() == own.id.str(); })) {
+                    [&](const auto& e) { return e.id() == settings.id.str(); })) {
         root_ = std::make_unique<root_machine>();
         root_log_ = open_log(now, root_log_id, root_members, files, *root_, why);
         if (root_log_ == nullptr) {
@@ -104,7 +104,7 @@
                                                         reason& why)
 {
     replicated_log::options it;
-    it.self = member_id{options_.own.id.str()};
+    it.self = member_id{options_.daemon_settings.id.str()};
     it.bootstrap = std::move(members);
     it.raft = options_.raft;
     it.seed = options_.seed ^ hash_of(name);
@@ -115,8 +115,9 @@
         *out.mutable_raft()->mutable_message() = message;
         send(daemon_id{to.str()}, std::move(out));
     };
-    return replicated_log::open(now, std::move(it), files, options_.own.data_folder + "/" + name,
-                                state, send_raft, why);
+    return replicated_log::open(now, std::move(it), files,
+                                options_.daemon_settings.data_folder + "/" + name, state, send_raft,
+                                why);
 }
 
 replicated_log* control_plane::find_log(const std::string& name) const
@@ -133,11 +134,11 @@
     if (const auto* it = find_log(log); it != nullptr && !it->raft().leader().empty()) {
         out.emplace_back(it->raft().leader().str());
     }
-    for (const auto& it : options_.own.peers) {
+    for (const auto& it : options_.daemon_settings.peers) {
         const bool is_voter = log == root_log_id
                                   ? it.root_voter
                                   : it.domain_voter && log == "domain-" + it.failure_domain.str();
-        if (is_voter && it.id != options_.own.id) {
+        if (is_voter && it.id != options_.daemon_settings.id) {
             out.push_back(it.id);
         }
     }
@@ -146,18 +147,18 @@
 
 void control_plane::send(const daemon_id& to, wire::envelope envelope)
 {
-    if (to == options_.own.id) {
+    if (to == options_.daemon_settings.id) {
         return;
     }
     envelope.set_version(protocol_version);
-    envelope.set_from(options_.own.id.str());
-    envelope.set_from_member(options_.own.id.str());
+    envelope.set_from(options_.daemon_settings.id.str());
+    envelope.set_from_member(options_.daemon_settings.id.str());
     hooks_.send(to, envelope);
 }
 
 void control_plane::send_to_all(const wire::envelope& message)
 {
-    for (const auto& it : options_.own.peers) {
+    for (const auto& it : options_.daemon_settings.peers) {
         send(it.id, message);
     }
 }
@@ -274,15 +275,15 @@
     if (now < next_share_) {
         return;
     }
-    next_share_ = now + options_.own.watch_interval / shares_per_watch_interval;
+    next_share_ = now + options_.daemon_settings.watch_interval / shares_per_watch_interval;
     wire::envelope out;
     auto* reports = out.mutable_reports();
     for (const auto& [id, it] : own_reports_) {
         *reports->add_reports() = to_wire(id, it);
     }
     own_reports_.clear();
-    for (const auto& it : options_.own.peers) {
-        if (it.failure_domain == options_.own.failure_domain) {
+    for (const auto& it : options_.daemon_settings.peers) {
+        if (it.failure_domain == options_.daemon_settings.failure_domain) {
             // An empty message is sent too: the receivers count this daemon as a watcher only while
             // its messages arrive.
             send(it.id, out);
@@ -293,8 +294,8 @@
 void control_plane::pull_views(instant now)
 {
     std::map<failure_domain_id, std::vector<daemon_id>> voters;
-    for (const auto& it : options_.own.peers) {
-        if (it.failure_domain != options_.own.failure_domain && it.domain_voter) {
+    for (const auto& it : options_.daemon_settings.peers) {
+        if (it.failure_domain != options_.daemon_settings.failure_domain && it.domain_voter) {
             voters[it.failure_domain].push_back(it.id);
         }
     }
@@ -304,7 +305,7 @@
         pull->set_domain(domain.str());
         pull->set_stamp(now.time_since_epoch().count());
         pull->set_have_version(remote_domains_.version_of(domain));
-        pull->set_asker(options_.own.id.str());
+        pull->set_asker(options_.daemon_settings.id.str());
         send(all[pull_turn_ % all.size()], std::move(out));
     }
     ++pull_turn_;
--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -27,7 +27,7 @@
     // The drain mark is written to the log of the domain that contains the node, group or runner;
     // that of an unknown id to the log of this daemon's domain.
     const auto& config = *domain_->state.config();
-    failure_domain_id owner = options_.own.failure_domain;
+    failure_domain_id owner = options_.daemon_settings.failure_domain;
     const auto* node = config.find_node(node_id{change.id()});
     for (const auto& it : config.runners) {
         if (change.kind() == "runner" && it.id.str() == change.id()) {
--- a/src/control/control_plane_messages.cpp
+++ b/src/control/control_plane_messages.cpp
@@ -91,7 +91,7 @@
 {
     const auto& pull = in.view_pull();
     const auto& raft = domain_log_->raft();
-    if (pull.domain() != options_.own.failure_domain.str()) {
+    if (pull.domain() != options_.daemon_settings.failure_domain.str()) {
         return;
     }
     if (!raft.holds_lease(now)) {
--- a/src/control/control_plane_views.cpp
+++ b/src/control/control_plane_views.cpp
@@ -54,9 +54,9 @@
     for (const auto& node : config.nodes) {
         const auto* runner = config.find_runner_on(node.id);
         const auto* group = domain_->state.groups().find_by_node(node.id);
-        const bool own = config.domain_of(node) == options_.own.failure_domain;
+        const bool in_domain = config.domain_of(node) == options_.daemon_settings.failure_domain;
         const bool serves = group != nullptr && group->state == group_state::serving;
-        if (own && !serves && runner != nullptr && watch_.is_present(now, runner->id)) {
+        if (in_domain && !serves && runner != nullptr && watch_.is_present(now, runner->id)) {
             out += node.accelerators;
         }
     }
@@ -65,11 +65,11 @@
 
 std::vector<runner_spec> control_plane::watched(instant now) const
 {
-    const auto& own = options_.own;
-    std::vector<daemon_id> watchers{own.id};
-    for (const auto& it : own.peers) {
+    const auto& settings = options_.daemon_settings;
+    std::vector<daemon_id> watchers{settings.id};
+    for (const auto& it : settings.peers) {
         const auto heard = last_message_at_.find(it.id);
-        if (it.failure_domain == own.failure_domain && it.id != own.id &&
+        if (it.failure_domain == settings.failure_domain && it.id != settings.id &&
             heard != last_message_at_.end() && now - heard->second < peer_silence) {
             watchers.push_back(it.id);
         }
@@ -78,10 +78,10 @@
     const auto& config = *domain_->state.config();
     for (const auto& runner : config.runners) {
         const auto* node = config.find_node(runner.node);
-        if (node == nullptr || config.domain_of(*node) != own.failure_domain) {
+        if (node == nullptr || config.domain_of(*node) != settings.failure_domain) {
             continue;
         }
-        const auto mine = hash_of(own.id.str() + "\n" + runner.id.str());
+        const auto mine = hash_of(settings.id.str() + "\n" + runner.id.str());
         const auto before =
             std::count_if(watchers.begin(), watchers.end(), [&](const daemon_id& it) {
                 return hash_of(it.str() + "\n" + runner.id.str()) < mine;
@@ -111,7 +111,7 @@
     place.failure_domain = home;
     place.valid_until = valid_until;
     place.draining = it.state == group_state::draining;
-    if (home == options_.own.failure_domain) {
+    if (home == options_.daemon_settings.failure_domain) {
         place.present = std::all_of(it.nodes.begin(), it.nodes.end(), [&](const node_id& node) {
             const auto* member = domain_->state.config()->find_runner_on(node);
             return member != nullptr && watch_.is_present(now, member->id);
@@ -125,11 +125,11 @@
 {
     target_table out;
     const auto valid_until = [&](const std::optional<instant>& grant) {
-        return grant ? *grant + options_.own.grant_ttl : instant{};
+        return grant ? *grant + options_.daemon_settings.grant_ttl : instant{};
     };
     const auto own_until = valid_until(granted_at(now));
     for (const auto& [id, it] : domain_->state.groups().records()) {
-        add_group_targets(now, it, own_until, options_.own.failure_domain, out);
+        add_group_targets(now, it, own_until, options_.daemon_settings.failure_domain, out);
     }
     for (const auto& [domain, view] : remote_domains_.all()) {
         for (const auto& it : view.groups) {
@@ -172,14 +172,14 @@
 
 void control_plane::set_service_grant(instant own_until, target& place) const
 {
-    if (place.failure_domain == options_.own.failure_domain) {
+    if (place.failure_domain == options_.daemon_settings.failure_domain) {
         place.valid_until = own_until;
         place.draining = domain_->state.drains().runners.contains(place.upstream);
         return;
     }
     const auto other = remote_domains_.all().find(place.failure_domain);
     if (other != remote_domains_.all().end() && other->second.granted) {
-        place.valid_until = *other->second.granted + options_.own.grant_ttl;
+        place.valid_until = *other->second.granted + options_.daemon_settings.grant_ttl;
         place.draining = other->second.drains.runners.contains(place.upstream);
     }
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -143,7 +143,7 @@
 bool daemon::open_control(reason& why)
 {
     control_plane::options options;
-    options.own = settings_;
+    options.daemon_settings = settings_;
     options.seed = random_seed();
     options.clock = steady_now;
     file_system* files = settings_.data_folder.empty() ? nullptr : &files_;
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -86,7 +86,7 @@
         return static_cast<std::uint64_t>(now_.time_since_epoch().count() / 1000);
     };
     control_plane::options options;
-    options.own = it.own;
+    options.daemon_settings = it.own;
     // Distinct for each world, daemon and start. The golden files depend on this value.
     options.seed =
         options_.seed * 1000 + std::hash<std::string>{}(daemon) % 997 + (++it.starts) * 1'000'003;
