--- a/include/cedarpoint/control/control_plane.h
+++ b/include/cedarpoint/control/control_plane.h
@@ -127,10 +127,14 @@
     [[nodiscard]] std::vector<daemon_id> daemons_of(const std::string& log) const;
     [[nodiscard]] std::string domain_log_name() const;
 
-    void lead_domain(instant now);
+    /// Runs a step of the group controller if this daemon holds the domain's lease.
+    void run_controller(instant now);
     void propose_group(instant now, const group_proposal& it);
-    void follow_root(instant now);
-    void take_configuration(instant now, const wire::accepted_configuration& accepted);
+    /// If this daemon holds the domain's lease, pulls the configuration that the root has accepted.
+    void pull_configuration(instant now);
+    /// Proposes to copy the configuration into the domain's log if it is newer than the one there.
+    void propose_configuration(instant now, const wire::accepted_configuration& accepted);
+    /// Sends the runners' reports to the domain's other daemons.
     void share_reports(instant now);
     void pull_views(instant now);
 
@@ -159,14 +163,14 @@
     runner_watch watch_;
     std::map<runner_id, runner_report> own_reports_; ///< not yet sent to the domain's other daemons
     std::map<daemon_id, instant> last_message_at_;
-    std::set<group_id> proposed_;
-    bool proposing_copy_ = false;
+    std::set<group_id> proposed_; ///< groups with a proposal whose outcome is not known yet
+    bool proposing_configuration_ = false; ///< as `proposed_`, for the copy of the configuration
     bool was_leading_ = false;
     bool was_ready_ = false;
     instant next_controller_step_;
     instant next_pull_;
     instant next_share_;
-    std::size_t pull_turn_ = 0;
+    std::size_t pull_turn_ = 0; ///< selects the voters that are asked in turn
 };
 
 } // namespace cedarpoint
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -175,17 +175,17 @@
     share_reports(now);
     if (now >= next_controller_step_) {
         next_controller_step_ = now + controller_interval;
-        lead_domain(now);
+        run_controller(now);
     }
     if (now >= next_pull_) {
         next_pull_ = now + pull_interval;
-        follow_root(now);
+        pull_configuration(now);
         pull_views(now);
     }
     was_ready_ = was_ready_ || granted_at(now).has_value();
 }
 
-void control_plane::lead_domain(instant now)
+void control_plane::run_controller(instant now)
 {
     const auto& raft = domain_log_->raft();
     if (!raft.holds_lease(now)) {
@@ -196,7 +196,7 @@
         was_leading_ = true;
         controller_.reset();
         proposed_.clear();
-        proposing_copy_ = false;
+        proposing_configuration_ = false;
     }
     const auto& state = domain_->state;
     const auto step =
@@ -226,8 +226,8 @@
         if (!bytes || !answer.ParseFromString(*bytes)) {
             return;
         }
-        const auto* now_is = domain_->state.groups().find(it.record.id);
-        const auto assignment = now_is == nullptr ? it.record.assignment : now_is->assignment;
+        const auto* current = domain_->state.groups().find(it.record.id);
+        const auto assignment = current == nullptr ? it.record.assignment : current->assignment;
         hooks_.log({it.record.id,
                     answer.refused().empty() ? std::string{name_of(it.to)} : "refused", assignment,
                     join_nodes(it.record.nodes),
@@ -238,13 +238,13 @@
     }
 }
 
-void control_plane::follow_root(instant now)
+void control_plane::pull_configuration(instant now)
 {
     if (!domain_log_->raft().holds_lease(now)) {
         return;
     }
     if (root_ != nullptr) {
-        take_configuration(now, root_->state.accepted());
+        propose_configuration(now, root_->state.accepted());
     }
     // Root voters pull too, because their own replica may be partitioned from the root's quorum.
     const auto all = daemons_of(root_log_id);
@@ -255,18 +255,20 @@
     }
 }
 
-void control_plane::take_configuration(instant now, const wire::accepted_configuration& accepted)
+void control_plane::propose_configuration(instant now, const wire::accepted_configuration& accepted)
 {
     const bool is_newer = accepted.revision() > domain_->state.in_force().value;
-    if (!is_newer || proposing_copy_ || !domain_log_->raft().holds_lease(now)) {
+    if (!is_newer || proposing_configuration_ || !domain_log_->raft().holds_lease(now)) {
         return;
     }
     wire::command command;
     *command.mutable_copy() = accepted;
-    proposing_copy_ = true;
-    const auto done = [this](const std::optional<std::string>&) { proposing_copy_ = false; };
+    proposing_configuration_ = true;
+    const auto done = [this](const std::optional<std::string>&) {
+        proposing_configuration_ = false;
+    };
     if (!domain_log_->propose(now, command.SerializeAsString(), done)) {
-        proposing_copy_ = false;
+        proposing_configuration_ = false;
     }
 }
 
--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -63,14 +63,14 @@
     it->set_key(ask.key.key);
     it->set_request(ask.request.str());
     it->set_now_ms(hooks_.wall_ms());
-    const auto answered = [done =
-                               std::move(done)](const std::optional<wire::command_answer>& answer) {
-        const bool known = answer && answer->claim_verdict() <=
-                                         static_cast<std::uint32_t>(claim_verdict::unavailable);
-        done(known ? static_cast<claim_verdict>(answer->claim_verdict())
-                   : claim_verdict::unavailable);
-    };
-    client_.submit(now, "domain-" + ask.home.str(), command, claim_limit, answered);
+    const auto on_answer =
+        [done = std::move(done)](const std::optional<wire::command_answer>& answer) {
+            const bool known = answer && answer->claim_verdict() <=
+                                             static_cast<std::uint32_t>(claim_verdict::unavailable);
+            done(known ? static_cast<claim_verdict>(answer->claim_verdict())
+                       : claim_verdict::unavailable);
+        };
+    client_.submit(now, "domain-" + ask.home.str(), command, claim_limit, on_answer);
 }
 
 void control_plane::finish_claim(instant now, const end_claim& end)
--- a/src/control/control_plane_messages.cpp
+++ b/src/control/control_plane_messages.cpp
@@ -5,6 +5,7 @@
 #include "cedarpoint/groups/drain_wire.h"
 
 namespace cedarpoint {
+
 void control_plane::receive(instant now, const wire::envelope& in)
 {
     if (in.version() != protocol_version) {
@@ -21,7 +22,7 @@
     case wire::envelope::kConfigPull:
         return on_config_pull(in);
     case wire::envelope::kConfigPush:
-        return take_configuration(now, in.config_push());
+        return propose_configuration(now, in.config_push());
     case wire::envelope::kReports:
         return on_reports(now, in);
     case wire::envelope::kViewPull:
@@ -95,11 +96,12 @@
         return;
     }
     if (!raft.holds_lease(now)) {
-        const bool first = pull.asker() == in.from();
-        if (first && !raft.leader().empty()) {
-            wire::envelope on;
-            *on.mutable_view_pull() = pull;
-            send(daemon_id{raft.leader().str()}, std::move(on));
+        // Only the daemon that the asker sent the pull to forwards it.
+        const bool is_from_asker = pull.asker() == in.from();
+        if (is_from_asker && !raft.leader().empty()) {
+            wire::envelope forwarded;
+            *forwarded.mutable_view_pull() = pull;
+            send(daemon_id{raft.leader().str()}, std::move(forwarded));
         }
         return;
     }
