--- a/include/cedarpoint/control/log_client.h
+++ b/include/cedarpoint/control/log_client.h
@@ -29,7 +29,7 @@
         /// log. An empty answer in `done` means that the outcome is unknown.
         std::function<bool(instant, const std::string& log, const std::string& command,
                            std::function<void(std::optional<std::string>)> done)>
-            propose_here;
+            propose_locally;
         /// Returns the daemons to send the command to, the last known leader first.
         std::function<std::vector<daemon_id>(const std::string& log)> daemons_of;
         std::function<void(const daemon_id&, wire::envelope)> send;
@@ -54,7 +54,7 @@
                 answer_handler done);
     void on_answer(instant now, const wire::submit_answer& in);
     void tick(instant now);
-    [[nodiscard]] std::size_t waiting() const { return calls_.size(); }
+    [[nodiscard]] std::size_t pending_calls() const { return calls_.size(); }
 
 private:
     struct call {
@@ -62,13 +62,14 @@
         std::string command;
         answer_handler done;
         instant deadline;
-        instant next;
-        std::size_t turn = 0;
-        daemon_id hint;
-        int redirects = 0; ///< since the last timed resend
+        instant resend_at;
+        std::size_t turn = 0;  ///< selects the daemon to send to, one after the other
+        daemon_id redirect_to; ///< the leader named by an answer, to be tried next; may be empty
+        int redirects = 0;     ///< since the last timed resend
     };
 
-    void ask(instant now, std::uint64_t id);
+    /// Proposes the command locally or sends it to another daemon.
+    void try_call(instant now, std::uint64_t id);
     void end(std::uint64_t id, std::optional<wire::command_answer> answer);
 
     hooks hooks_;
--- a/src/control/log_client.cpp
+++ b/src/control/log_client.cpp
@@ -7,27 +7,28 @@
 {
     const auto id = ++last_call_;
     calls_[id] = {log, command.SerializeAsString(), std::move(done), now + limit, now, 0, {}};
-    ask(now, id);
+    try_call(now, id);
 }
 
-void log_client::ask(instant now, std::uint64_t id)
+void log_client::try_call(instant now, std::uint64_t id)
 {
     auto& it = calls_.at(id);
-    it.next = now + retry_interval;
-    const auto here = [this, id](std::optional<std::string> bytes) {
+    it.resend_at = now + retry_interval;
+    const auto on_local_answer = [this, id](std::optional<std::string> bytes) {
         wire::command_answer answer;
         if (bytes && answer.ParseFromString(*bytes)) {
             end(id, std::move(answer));
         }
     };
-    if (hooks_.propose_here(now, it.log, it.command, here)) {
+    if (hooks_.propose_locally(now, it.log, it.command, on_local_answer)) {
         return;
     }
     const auto all = hooks_.daemons_of(it.log);
     if (all.empty()) {
         return;
     }
-    const auto to = it.hint.empty() ? all[it.turn++ % all.size()] : std::exchange(it.hint, {});
+    const auto to =
+        it.redirect_to.empty() ? all[it.turn++ % all.size()] : std::exchange(it.redirect_to, {});
     wire::envelope out;
     out.mutable_submit()->set_log(it.log);
     out.mutable_submit()->set_call(id);
@@ -45,8 +46,8 @@
         auto& it = found->second;
         if (!in.leader().empty() && it.redirects < max_redirects) {
             ++it.redirects;
-            it.hint = daemon_id{in.leader()};
-            ask(now, in.call());
+            it.redirect_to = daemon_id{in.leader()};
+            try_call(now, in.call());
         }
         return;
     }
@@ -64,7 +65,7 @@
         if (now >= it.deadline) {
             late.push_back(id);
         }
-        else if (now >= it.next) {
+        else if (now >= it.resend_at) {
             due.push_back(id);
         }
     }
@@ -74,7 +75,7 @@
     for (const auto id : due) {
         if (const auto found = calls_.find(id); found != calls_.end()) {
             found->second.redirects = 0;
-            ask(now, id);
+            try_call(now, id);
         }
     }
 }
