--- a/include/cedarpoint/request/refusal.h
+++ b/include/cedarpoint/request/refusal.h
@@ -43,12 +43,12 @@
 };
 
 /// The HTTP representation of an error code.
-struct error_shape {
+struct http_error {
     int status = 0;        ///< HTTP status
     std::string_view name; ///< `error.code` in the body
 };
 
-error_shape describe(error_code it);
+http_error describe(error_code it);
 /// Returns the value of `error.ran` in the body.
 std::string_view name_of(run_state it);
 
--- a/src/entry/reachability_checker.cpp
+++ b/src/entry/reachability_checker.cpp
@@ -22,15 +22,15 @@
 
 void reachability_checker::check(instant now, const std::vector<suspect>& suspects)
 {
-    std::set<runner_id> named;
+    std::set<runner_id> suspected;
     for (const auto& each : suspects) {
-        named.insert(each.runner);
+        suspected.insert(each.runner);
         if (!was_tried_recently(now, each.runner)) {
             begin(now, each);
         }
     }
     std::erase_if(attempts_, [&](const auto& each) {
-        return each.second.probe->is_done() && !named.contains(each.first);
+        return each.second.probe->is_done() && !suspected.contains(each.first);
     });
 }
 
--- a/src/io/http_connection.cpp
+++ b/src/io/http_connection.cpp
@@ -33,9 +33,9 @@
             return;
         }
         expired_half_timeouts_ = 0;
-        const auto kept = reply_;
-        if (kept->on_drained) {
-            kept->on_drained();
+        const auto reply = reply_;
+        if (reply->on_drained) {
+            reply->on_drained();
         }
     });
     connect(&timer_, &QTimer::timeout, this, [this] { on_timeout(); });
@@ -90,8 +90,8 @@
     if (!parser_.is_head_done() && pending_.size() > limits_.max_head_bytes) {
         return refuse(error_code::head_too_large, "the request's head is too large");
     }
-    if (parser_.expects_continue() && !continued_) {
-        continued_ = true;
+    if (parser_.expects_continue() && !continue_sent_) {
+        continue_sent_ = true;
         socket_.write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (first) {
@@ -104,8 +104,8 @@
     keep_alive_ = parser_.keeps_alive();
     version_11_ = parser_.is_version_11();
     auto request = parser_.take();
-    head_method_ = request.method == "HEAD";
-    continued_ = false;
+    is_head_request_ = request.method == "HEAD";
+    continue_sent_ = false;
     phase_ = phase::answering;
     timer_.stop(); // the answer has no time limit; `write` times callers that don't read
     const auto state = read_socket_state(static_cast<int>(socket_.socketDescriptor()));
@@ -129,7 +129,7 @@
     add_connection_field(head);
     head.fields.add("Content-Length", std::to_string(body.size()));
     auto bytes = serialize_head(head);
-    if (!head_method_) {
+    if (!is_head_request_) {
         bytes += body;
     }
     socket_.write(bytes.data(), static_cast<qint64>(bytes.size()));
@@ -152,7 +152,7 @@
 
 void http_connection::write(const std::string& bytes)
 {
-    if (bytes.empty() || head_method_) {
+    if (bytes.empty() || is_head_request_) {
         return;
     }
     const auto framed = chunked_ ? fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes) : bytes;
@@ -165,7 +165,7 @@
 
 void http_connection::finish()
 {
-    if (chunked_ && !head_method_) {
+    if (chunked_ && !is_head_request_) {
         socket_.write("0\r\n\r\n");
     }
     end_answer();
@@ -246,10 +246,10 @@
     timer_.stop();
     owner_.open_.erase(this);
     if (reply_ != nullptr) {
-        const auto kept = std::exchange(reply_, nullptr);
-        kept->connection_ = nullptr;
-        if (kept->on_caller_disconnected) {
-            kept->on_caller_disconnected();
+        const auto reply = std::exchange(reply_, nullptr);
+        reply->connection_ = nullptr;
+        if (reply->on_caller_disconnected) {
+            reply->on_caller_disconnected();
         }
     }
     deleteLater();
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -54,9 +54,9 @@
     phase phase_ = phase::reading;
     bool keep_alive_ = true;
     bool version_11_ = true;
-    bool head_method_ = false;
-    bool continued_ = false;
-    bool closing_ = false;
+    bool is_head_request_ = false;
+    bool continue_sent_ = false; ///< "100 Continue" was sent for the present request
+    bool closing_ = false;       ///< closes after the present answer
     bool chunked_ = false;
     int expired_half_timeouts_ = 0; ///< half stall timeouts without bytes taken by the caller
 };
--- a/src/io/log_line.cpp
+++ b/src/io/log_line.cpp
@@ -68,7 +68,7 @@
 void log_line::write() const
 {
     static log_sink sink{STDOUT_FILENO};
-    static std::map<std::string, log_rate, std::less<>> rates;
+    static std::map<std::string, log_rate_limiter, std::less<>> rates;
     const auto now_ms = to_ms(steady_now().time_since_epoch());
     auto& rate = rates.try_emplace(event_, lines_per_second).first->second;
     if (!rate.take(now_ms)) {
--- a/src/io/log_sink.cpp
+++ b/src/io/log_sink.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-bool log_rate::take(std::int64_t now_ms)
+bool log_rate_limiter::take(std::int64_t now_ms)
 {
     const auto passed = static_cast<double>(now_ms - std::exchange(last_ms_, now_ms));
     tokens_ = std::clamp(tokens_ + passed * per_second_ / ms_per_second, 0.0, per_second_);
@@ -67,7 +67,7 @@
     return true;
 }
 
-std::uint64_t log_rate::take_suppressed()
+std::uint64_t log_rate_limiter::take_suppressed()
 {
     return std::exchange(suppressed_, 0);
 }
--- a/src/io/log_sink.h
+++ b/src/io/log_sink.h
@@ -30,9 +30,9 @@
 };
 
 /// Limits the rate of log lines of one kind with a token bucket and counts the lines left out.
-class log_rate {
+class log_rate_limiter {
 public:
-    explicit log_rate(double per_second) : per_second_{per_second}, tokens_{per_second} {}
+    explicit log_rate_limiter(double per_second) : per_second_{per_second}, tokens_{per_second} {}
     /// Returns true if one more line may be written at `now_ms`.
     bool take(std::int64_t now_ms);
     /// Returns the number of lines left out since the previous call.
--- a/src/io/mesh.cpp
+++ b/src/io/mesh.cpp
@@ -19,8 +19,8 @@
 constexpr int connect_timeout_ms = 300;
 /// Time limit for the handshake after a peer accepted the connection. With the 30 s that ZeroMQ
 /// uses by default, daemons stayed disconnected after a network partition from peers that had
-/// accepted but never answered (soak seed 150; mesh_test takes 30.1 s with the default, 1.6 s with
-/// this).
+/// accepted but never answered (soak test with seed 150; mesh_test takes 30.1 s with the default
+/// and 1.6 s with this value).
 constexpr int handshake_ms = 1500;
 /// Interval and timeout of ZeroMQ's heartbeats, which close dead connections.
 constexpr int heartbeat_ms = 1000;
@@ -227,13 +227,14 @@
             parts.push_back(std::move(part));
         } while (parts.back().more());
         constexpr std::size_t curve_parts = 9; // frames of a ZAP request with a key (RFC 27)
-        const bool fine = parts.size() == curve_parts && parts[7].to_string_view() == "CURVE" &&
-                          parts[8].size() == key_bytes &&
-                          std::memcmp(parts[8].data(), own.data(), key_bytes) == 0;
+        const bool is_accepted = parts.size() == curve_parts &&
+                                 parts[7].to_string_view() == "CURVE" &&
+                                 parts[8].size() == key_bytes &&
+                                 std::memcmp(parts[8].data(), own.data(), key_bytes) == 0;
         if (parts.size() < 4) {
             continue;
         }
-        const std::string status = fine ? "200" : "400";
+        const std::string status = is_accepted ? "200" : "400";
         zap_socket_->send(parts[0], zmq::send_flags::sndmore);
         zap_socket_->send(zmq::message_t{}, zmq::send_flags::sndmore);
         zap_socket_->send(zmq::str_buffer("1.0"), zmq::send_flags::sndmore);
--- a/src/request/dispatcher.cpp
+++ b/src/request/dispatcher.cpp
@@ -247,13 +247,13 @@
     if (step == failure_step::resume) {
         it.call.expires_at = std::max(it.call.expires_at, now + options_.longest_wait);
     }
-    const bool elsewhere = router_.choose(now, it.call.query).chosen != nullptr;
-    it.retry_at = elsewhere ? now : now + retry_pause(it.attempts, it.call.query.salt);
+    const bool has_other_target = router_.choose(now, it.call.query).chosen != nullptr;
+    it.retry_at = has_other_target ? now : now + retry_pause(it.attempts, it.call.query.salt);
     it.phase = open_request::phase_t::backing_off;
     out.emplace_back(decision{
         it.facts.id, it.call.account, "retry", "", "",
         fmt::format("{} failed, again in {} ms", it.upstream.str(), to_ms(it.retry_at - now))});
-    if (elsewhere) {
+    if (has_other_target) {
         enqueue(now, it, out);
     }
 }
--- a/src/request/refusal.cpp
+++ b/src/request/refusal.cpp
@@ -8,7 +8,7 @@
 
 struct error_row {
     error_code code = error_code::bad_request;
-    error_shape shape;
+    http_error http;
 };
 
 constexpr std::array error_table{
@@ -37,11 +37,11 @@
 
 } // namespace
 
-error_shape describe(error_code it)
+http_error describe(error_code it)
 {
     for (const auto& row : error_table) {
         if (row.code == it) {
-            return row.shape;
+            return row.http;
         }
     }
     return {500, "internal"};
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -197,7 +197,7 @@
 
 TEST(lines_of_one_kind, are_limited_in_rate_and_counted)
 {
-    log_rate rate{10};
+    log_rate_limiter rate{10};
     int written = 0;
     for (int count = 0; count < 100; ++count) {
         written += rate.take(1000) ? 1 : 0;
