--- a/tests/control/control_scenario_test.cpp
+++ b/tests/control/control_scenario_test.cpp
@@ -27,37 +27,37 @@
     return text.empty() ? fallback : std::stoi(text);
 }
 
-class control_play {
+class scenario_driver {
 public:
     lines play(const scenario_step& step)
     {
         struct row {
             const char* verb;
-            lines (control_play::*function)(const scenario_step&);
+            lines (scenario_driver::*function)(const scenario_step&);
         };
         static constexpr row table[] = {
-            {"world", &control_play::make},
-            {"run", &control_play::run},
-            {"await", &control_play::await},
-            {"kill", &control_play::kill},
-            {"restart", &control_play::restart},
-            {"wipe", &control_play::wipe},
-            {"pause", &control_play::pause},
-            {"resume", &control_play::resume},
-            {"cut", &control_play::cut},
-            {"cut-one-way", &control_play::cut_one_way},
-            {"heal", &control_play::heal},
-            {"lose", &control_play::lose},
-            {"return", &control_play::return_node},
-            {"apply", &control_play::apply},
-            {"apply-many", &control_play::apply_many},
-            {"claim", &control_play::claim},
-            {"finish", &control_play::finish},
-            {"drain", &control_play::drain},
-            {"undrain", &control_play::drain},
-            {"show", &control_play::show},
-            {"disk-fails", &control_play::disk_fails},
-            {"disk-works", &control_play::disk_works},
+            {"world", &scenario_driver::make},
+            {"run", &scenario_driver::run},
+            {"await", &scenario_driver::await},
+            {"kill", &scenario_driver::kill},
+            {"restart", &scenario_driver::restart},
+            {"wipe", &scenario_driver::wipe},
+            {"pause", &scenario_driver::pause},
+            {"resume", &scenario_driver::resume},
+            {"cut", &scenario_driver::cut},
+            {"cut-one-way", &scenario_driver::cut_one_way},
+            {"heal", &scenario_driver::heal},
+            {"lose", &scenario_driver::lose},
+            {"return", &scenario_driver::return_node},
+            {"apply", &scenario_driver::apply},
+            {"apply-many", &scenario_driver::apply_many},
+            {"claim", &scenario_driver::claim},
+            {"finish", &scenario_driver::finish},
+            {"drain", &scenario_driver::drain},
+            {"undrain", &scenario_driver::drain},
+            {"show", &scenario_driver::show},
+            {"disk-fails", &scenario_driver::disk_fails},
+            {"disk-works", &scenario_driver::disk_works},
         };
         for (const auto& it : table) {
             if (step.verb() == it.verb) {
@@ -193,7 +193,7 @@
     lines heal(const scenario_step& in)
     {
         if (in.size() == 2) {
-            world_->mend(in.word(0), in.word(1));
+            world_->heal(in.word(0), in.word(1));
         }
         else {
             world_->heal();
@@ -306,7 +306,7 @@
 
 TEST_P(control_scenario, prints_what_its_file_says)
 {
-    control_play it;
+    scenario_driver it;
     testing_support::check_scenario(
         std::string{SOURCE_DIR} + "/tests/control/scenarios/" + GetParam() + ".scenario",
         [&](const scenario_step& step) {
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -52,13 +52,13 @@
     }
     for (const auto& peer : peers) {
         auto it = std::make_unique<host>();
-        it->own.id = peer.id;
-        it->own.failure_domain = peer.failure_domain;
-        it->own.daemons = peer.address;
-        it->own.peers = peers;
-        it->own.watch_interval = watch_interval;
+        it->daemon_settings.id = peer.id;
+        it->daemon_settings.failure_domain = peer.failure_domain;
+        it->daemon_settings.daemons = peer.address;
+        it->daemon_settings.peers = peers;
+        it->daemon_settings.watch_interval = watch_interval;
         it->has_disk = peer.domain_voter && !options_.diskless;
-        it->own.data_folder = "data";
+        it->daemon_settings.data_folder = "data";
         hosts_[peer.id.str()] = std::move(it);
         start(peer.id.str());
     }
@@ -86,7 +86,7 @@
         return static_cast<std::uint64_t>(now_.time_since_epoch().count() / 1000);
     };
     control_plane::options options;
-    options.daemon_settings = it.own;
+    options.daemon_settings = it.daemon_settings;
     // Distinct for each world, daemon and start. The golden files depend on this value.
     options.seed =
         options_.seed * 1000 + std::hash<std::string>{}(daemon) % 997 + (++it.starts) * 1'000'003;
@@ -128,7 +128,7 @@
     }
 }
 
-void world::mend(const std::string& one, const std::string& other)
+void world::heal(const std::string& one, const std::string& other)
 {
     cuts_.erase({one, other});
     cuts_.erase({other, one});
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -53,7 +53,7 @@
     /// Drops messages from one daemon or zone to another; "*" stands for all.
     void cut(const std::string& from, const std::string& to, bool both_ways);
     void heal() { cuts_.clear(); }
-    void mend(const std::string& one, const std::string& other);
+    void heal(const std::string& one, const std::string& other);
     void lose_node(const std::string& node, bool lost) { engines_.at(node).alive = !lost; }
 
     /// Returns a configuration file for this world, with `extra` additional groups in each zone.
@@ -88,7 +88,7 @@
 
 private:
     struct host {
-        settings own;
+        settings daemon_settings;
         memory_files files;
         std::unique_ptr<control_plane> plane;
         bool paused = false;
--- a/tests/request/dispatcher_crash_test.cpp
+++ b/tests/request/dispatcher_crash_test.cpp
@@ -46,8 +46,7 @@
     return out;
 }
 
-/// Daemons that send requests to the runners of a service. The request `crashing` ended_runners its
-/// runner.
+/// Daemons that send requests to the runners of a service. The request `crashing` ends its runner.
 class daemons_with_a_crashing_request : public testing::Test {
 protected:
     daemons_with_a_crashing_request()
--- a/tests/request/dispatcher_scenario_test.cpp
+++ b/tests/request/dispatcher_scenario_test.cpp
@@ -74,7 +74,7 @@
 
     lines use()
     {
-        it_.set_configuration(std::make_shared<const configuration>(config_));
+        dispatcher_.set_configuration(std::make_shared<const configuration>(config_));
         return {};
     }
 
@@ -105,7 +105,7 @@
             }
             all.push_back(place);
         }
-        return show(it_.set_targets(now_, std::move(all)));
+        return show(dispatcher_.set_targets(now_, std::move(all)));
     }
 
     lines at(const scenario_step& in)
@@ -136,7 +136,7 @@
             facts.deadline = now_ + milliseconds{std::stoi(text)};
         }
         facts.priority = parse_priority(in.after("priority"));
-        return show(it_.submit(now_, std::move(facts)));
+        return show(dispatcher_.submit(now_, std::move(facts)));
     }
 
     lines claim(const scenario_step& in)
@@ -147,18 +147,19 @@
             {"ran", claim_verdict::already_ran},
             {"unknown", claim_verdict::unknown_outcome},
             {"unavailable", claim_verdict::unavailable}};
-        return show(it_.claim_answered(now_, request_id{in.word(0)}, verdicts.at(in.word(1))));
+        return show(
+            dispatcher_.claim_answered(now_, request_id{in.word(0)}, verdicts.at(in.word(1))));
     }
 
     lines sending(const scenario_step& in)
     {
-        it_.attempt_sending(attempt_of(in));
+        dispatcher_.attempt_sending(attempt_of(in));
         return {};
     }
 
     lines head(const scenario_step& in)
     {
-        it_.attempt_answering(attempt_of(in));
+        dispatcher_.attempt_answering(attempt_of(in));
         return {};
     }
 
@@ -171,7 +172,7 @@
         }
         answer_signals signals;
         signals.rate_limit = read_rate_limit({values.begin(), values.end()});
-        const auto news = it_.attempt_signals(now_, attempt_of(in), signals);
+        const auto news = dispatcher_.attempt_signals(now_, attempt_of(in), signals);
         return {news.rate_limit ? "the rate limit has changed" : "no news"};
     }
 
@@ -179,23 +180,23 @@
     lines pauses(const scenario_step& in)
     {
         const auto value = in.word(1);
-        (void)it_.attempt_signals(now_, attempt_of(in),
-                                  read_answer_signals({503, {}, {value}, {}}));
+        (void)dispatcher_.attempt_signals(now_, attempt_of(in),
+                                          read_answer_signals({503, {}, {value}, {}}));
         return {};
     }
 
     /// leaves ATTEMPT: the response head of the attempt announces that the runner leaves.
     lines leaves(const scenario_step& in)
     {
-        const auto news =
-            it_.attempt_signals(now_, attempt_of(in), read_answer_signals({200, {}, {}, {"1"}}));
+        const auto news = dispatcher_.attempt_signals(now_, attempt_of(in),
+                                                      read_answer_signals({200, {}, {}, {"1"}}));
         return {news.leave ? "it leaves" : "no news"};
     }
 
     lines event(const scenario_step& in)
     {
         for (int n = 0; n < number(in.word(1), 1); ++n) {
-            it_.attempt_event(attempt_of(in));
+            dispatcher_.attempt_event(attempt_of(in));
         }
         return {};
     }
@@ -207,20 +208,20 @@
                                                       {"unsent", attempt_end::unsent},
                                                       {"cut", attempt_end::cut},
                                                       {"error", attempt_end::server_error}};
-        return show(it_.attempt_ended(now_, attempt_of(in), ends.at(in.word(1))));
+        return show(dispatcher_.attempt_ended(now_, attempt_of(in), ends.at(in.word(1))));
     }
 
     lines gone(const scenario_step& in)
     {
-        return show(it_.caller_gone(now_, request_id{in.word(0)}));
+        return show(dispatcher_.caller_gone(now_, request_id{in.word(0)}));
     }
-    lines tick(const scenario_step& /*in*/) { return show(it_.tick(now_)); }
-    lines stop(const scenario_step& /*in*/) { return show(it_.begin_stop(now_)); }
+    lines tick(const scenario_step& /*in*/) { return show(dispatcher_.tick(now_)); }
+    lines stop(const scenario_step& /*in*/) { return show(dispatcher_.begin_stop(now_)); }
 
     lines show(const scenario_step& /*in*/)
     {
-        return {fmt::format("in flight {}, queued {}, sessions {}", it_.in_flight(), it_.queued(),
-                            it_.sessions())};
+        return {fmt::format("in flight {}, queued {}, sessions {}", dispatcher_.in_flight(),
+                            dispatcher_.queued(), dispatcher_.sessions())};
     }
 
     static attempt_id attempt_of(const scenario_step& in)
@@ -275,8 +276,8 @@
     }
 
     configuration config_;
-    dispatcher it_{failure_domain_id{"home"},
-                   {.permits = {.rate_fraction = 0.75, .daemons = 2, .seed = 1}}};
+    dispatcher dispatcher_{failure_domain_id{"home"},
+                           {.permits = {.rate_fraction = 0.75, .daemons = 2, .seed = 1}}};
     instant now_{};
 };
 
--- a/tests/request/failure_rule_test.cpp
+++ b/tests/request/failure_rule_test.cpp
@@ -194,7 +194,7 @@
         account.max_in_flight = 1000;
         config.accounts.push_back(account);
         config.routes.push_back({model_id{"m"}, {}, {pool_id{"p"}}});
-        it_.set_configuration(std::make_shared<const configuration>(config));
+        dispatcher_.set_configuration(std::make_shared<const configuration>(config));
         target_table all;
         for (const auto* name : {"p/0", "p/1"}) {
             target place;
@@ -205,7 +205,7 @@
             place.valid_until = now + seconds{100};
             all.push_back(place);
         }
-        (void)it_.set_targets(now, std::move(all));
+        (void)dispatcher_.set_targets(now, std::move(all));
     }
 
     /// Submits a request that its first runner refuses; the breaker does not count a refusal as a
@@ -216,10 +216,11 @@
         facts.id = request_id{fmt::format("r{}", n)};
         facts.key_digest = "key";
         facts.model = model_id{"m"};
-        const auto first = last_start(it_.submit(now, facts));
-        const auto second = last_start(it_.attempt_ended(now, first.value(), attempt_end::refused));
+        const auto first = last_start(dispatcher_.submit(now, facts));
+        const auto second =
+            last_start(dispatcher_.attempt_ended(now, first.value(), attempt_end::refused));
         if (second) {
-            (void)it_.attempt_ended(now, *second, attempt_end::complete);
+            (void)dispatcher_.attempt_ended(now, *second, attempt_end::complete);
         }
         return second.has_value();
     }
@@ -236,7 +237,7 @@
         return out;
     }
 
-    dispatcher it_{failure_domain_id{"home"}, {}};
+    dispatcher dispatcher_{failure_domain_id{"home"}, {}};
 };
 
 TEST_F(two_groups, send_a_failed_request_again_only_if_the_budget_allows_it)
