--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -96,7 +96,7 @@
     const char* method = nullptr;
     const char* path = nullptr; ///< a final '/' matches every path below
     route function = nullptr;
-    bool open = false; ///< served without the operators' key
+    bool is_public = false; ///< served without the operators' key
 };
 
 operator_api::operator_api(daemon& owner)
@@ -135,7 +135,7 @@
                                  : path == pattern;
         path_known = path_known || matches;
         if (matches && request.method == it.method) {
-            if (!it.open && !is_allowed(request)) {
+            if (!it.is_public && !is_allowed(request)) {
                 answer(*reply, status::unauthorized,
                        {{"text", "needs Authorization: Bearer and the operators' key"}});
                 return;
