--- a/src/entry/local_reply.cpp
+++ b/src/entry/local_reply.cpp
@@ -21,7 +21,7 @@
      short_retry_after},
     {local_reply::outcome_unknown, http_status::bad_gateway, "the runner's answer did not come",
      "the runner's answer did not arrive", no_retry_after},
-    {local_reply::expired_unrun, http_status::service_unavailable, "its time is up",
+    {local_reply::expired_not_run, http_status::service_unavailable, "its time is up",
      "deadline exceeded", short_retry_after},
     {local_reply::expired, http_status::gateway_timeout, "its time is up", "deadline exceeded",
      no_retry_after},
--- a/src/entry/local_reply.h
+++ b/src/entry/local_reply.h
@@ -11,7 +11,7 @@
     unknown_key,
     not_run,         ///< no runner accepted it: it has not run, or is safe to repeat
     outcome_unknown, ///< a runner may have run it, and its answer did not arrive
-    expired_unrun,   ///< the deadline has passed, and the request has not run
+    expired_not_run, ///< the deadline has passed, and the request has not run
     expired,         ///< the deadline has passed, and the request may have run
     quarantined      ///< it crashed the runners that ran it earlier; this time it has not run
 };
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -128,7 +128,7 @@
         abort_stream("deadline exceeded");
     }
     else {
-        answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_unrun, "");
+        answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_not_run, "");
     }
 }
 
--- a/tests/entry/runner_request_test.cpp
+++ b/tests/entry/runner_request_test.cpp
@@ -66,7 +66,7 @@
 TEST(a_local_reply, invites_a_retry_only_if_the_request_has_not_run)
 {
     for (const auto kind :
-         {local_reply::no_configuration, local_reply::not_run, local_reply::expired_unrun}) {
+         {local_reply::no_configuration, local_reply::not_run, local_reply::expired_not_run}) {
         EXPECT_EQ(spec_of(kind).status, 503);
         EXPECT_FALSE(spec_of(kind).retry_after.empty());
     }
