--- a/src/control/control_plane_calls.cpp
+++ b/src/control/control_plane_calls.cpp
@@ -27,7 +27,7 @@
     // The drain mark is written to the log of the domain that contains the node, group or runner;
     // that of an unknown id to the log of this daemon's domain.
     const auto& config = *domain_->state.config();
-    failure_domain_id owner = options_.own.failure_domain;
+    failure_domain_id owner = options_.daemon_settings.failure_domain;
     const auto* node = config.find_node(node_id{change.id()});
     for (const auto& it : config.runners) {
         if (change.kind() == "runner" && it.id.str() == change.id()) {
@@ -63,14 +63,14 @@
     it->set_key(ask.key.key);
     it->set_request(ask.request.str());
     it->set_now_ms(hooks_.wall_ms());
-    const auto answered = [done =
-                               std::move(done)](const std::optional<wire::command_answer>& answer) {
-        const bool known = answer && answer->claim_verdict() <=
-                                         static_cast<std::uint32_t>(claim_verdict::unavailable);
-        done(known ? static_cast<claim_verdict>(answer->claim_verdict())
-                   : claim_verdict::unavailable);
-    };
-    client_.submit(now, "domain-" + ask.home.str(), command, claim_limit, answered);
+    const auto on_answer =
+        [done = std::move(done)](const std::optional<wire::command_answer>& answer) {
+            const bool known = answer && answer->claim_verdict() <=
+                                             static_cast<std::uint32_t>(claim_verdict::unavailable);
+            done(known ? static_cast<claim_verdict>(answer->claim_verdict())
+                       : claim_verdict::unavailable);
+        };
+    client_.submit(now, "domain-" + ask.home.str(), command, claim_limit, on_answer);
 }
 
 void control_plane::finish_claim(instant now, const end_claim& end)
--- a/src/control_daemon/runner_orders.cpp
+++ b/src/control_daemon/runner_orders.cpp
@@ -120,7 +120,7 @@
     request.connect_timeout = probe_timeout;
     const std::weak_ptr<call> weak = each;
     exchange_handlers handlers;
-    handlers.on_sent = [this, weak] {
+    handlers.on_sending = [this, weak] {
         if (const auto open = weak.lock()) {
             on_connected(open);
         }
@@ -144,7 +144,7 @@
 {
     each->timer.stop();
     calls_.erase(each);
-    pool_.give_back(std::exchange(each->connection, nullptr));
+    pool_.release(std::exchange(each->connection, nullptr));
 }
 
 void runner_orders::on_connected(const call_ptr& each)
@@ -219,7 +219,7 @@
     for (const auto& each : calls) {
         each->timer.stop();
         each->connection->cancel();
-        pool_.give_back(std::exchange(each->connection, nullptr));
+        pool_.release(std::exchange(each->connection, nullptr));
     }
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -4,8 +4,8 @@
 #include "cedarpoint/core/peer_clocks.h"
 #include "cedarpoint/request/dispatcher.h"
 #include "daemon/caller_gateway.h"
+#include "daemon/daemon_metrics.h"
 #include "daemon/decision_log.h"
-#include "daemon/metrics.h"
 #include "daemon/operator_api.h"
 #include "daemon/runner_client.h"
 #include "io/disk_watch.h"
@@ -21,11 +21,12 @@
 
 namespace cedarpoint {
 
-/// A running daemon with a list of peers: the core with its sockets, files and timers.
+/// A running daemon with a list of peers. Owns the control plane, the dispatcher, and the sockets,
+/// files and timers that drive them.
 class daemon {
 public:
     /// Returns null and sets `why` if a listener or the data folder can't be opened.
-    static std::unique_ptr<daemon> start(settings own, reason& why);
+    static std::unique_ptr<daemon> start(settings daemon_settings, reason& why);
     ~daemon();
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
@@ -40,13 +41,13 @@
     [[nodiscard]] control_plane& control() { return *control_; }
     [[nodiscard]] const dispatcher& requests() const { return dispatcher_; }
     [[nodiscard]] const decision_log& decisions() const { return decisions_; }
-    [[nodiscard]] metrics& figures() { return figures_; }
-    [[nodiscard]] const settings& own() const { return own_; }
+    [[nodiscard]] daemon_metrics& metrics() { return metrics_; }
+    [[nodiscard]] const settings& daemon_settings() const { return settings_; }
     [[nodiscard]] endpoint callers() const { return gateway_->address(); }
     [[nodiscard]] endpoint operators() const { return operators_->address(); }
 
 private:
-    explicit daemon(settings own);
+    explicit daemon(settings daemon_settings);
     bool open(reason& why);
     bool open_control(reason& why);
     bool open_mesh(reason& why);
@@ -63,9 +64,9 @@
     void publish_crashes(instant now);
     void check_stop();
 
-    settings own_;
+    settings settings_;
     posix_file_system files_;
-    metrics figures_;
+    daemon_metrics metrics_;
     decision_log decisions_;
     dispatcher dispatcher_;
     peer_clocks peer_clocks_;
@@ -80,7 +81,7 @@
     instant next_poll_;
     instant next_metrics_;
     instant next_publish_;
-    instant stop_by_;
+    instant stop_deadline_;
     revision view_revision_;
     bool stopping_ = false;
     bool ended_ = false;
--- a/src/entry/relay_answers.cpp
+++ b/src/entry/relay_answers.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void relay::deliver()
+void relay::deliver_answer()
 {
     const auto since_arrival = steady_now() - arrived_;
     if (stream_begun_) {
@@ -36,7 +36,7 @@
     finish("served", "");
 }
 
-void relay::give_up(const std::string& why)
+void relay::fail_request(const std::string& why)
 {
     final_answer_facts known;
     known.has_begun = stream_begun_;
@@ -128,7 +128,7 @@
         abort_stream("deadline exceeded");
     }
     else {
-        answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_unrun, "");
+        answer(facts_.may_have_run ? local_reply::expired : local_reply::expired_not_run, "");
     }
 }
 
--- a/tests/io/runner_connection_test.cpp
+++ b/tests/io/runner_connection_test.cpp
@@ -82,7 +82,7 @@
     handlers.on_body = [&](const std::string& bytes) { out.body += bytes; };
     handlers.on_end = [&, connection](exchange_end end, const reason&) {
         out.end = end;
-        pool.give_back(connection);
+        pool.release(connection);
     };
     connection->start(std::move(request), std::move(handlers));
     ASSERT_TRUE(wait_until([&] { return out.end.has_value(); }));
@@ -198,7 +198,7 @@
 
 TEST(lines_of_one_kind, are_limited_in_rate_and_counted)
 {
-    log_rate rate{10};
+    log_rate_limiter rate{10};
     int written = 0;
     for (int n = 0; n < 100; ++n) {
         written += rate.take(1000) ? 1 : 0;
--- a/tests/support/open_loop_callers.cpp
+++ b/tests/support/open_loop_callers.cpp
@@ -63,7 +63,7 @@
     };
     handlers.on_body = [answer](const std::string& bytes) { answer->text += bytes; };
     handlers.on_end = [this, connection, answer, start](exchange_end end, const reason&) {
-        pool_.give_back(connection);
+        pool_.release(connection);
         answer->ended = steady_now();
         answer->took = answer->ended - start;
         answer->status = end == exchange_end::complete ? answer->status : 0;
