--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -175,7 +175,7 @@
     ASSERT_TRUE(wait_until([&] { return shop[0]->drain_acknowledged(); }));
     shop.clear();
     shop.push_back(std::make_unique<platform_runner>("s-1", "shop", site.controls(), 1'001));
-    EXPECT_TRUE(serves()) << "the drain applied to the earlier life";
+    EXPECT_TRUE(serves()) << "the drain applied to the earlier incarnation";
 }
 
 TEST_F(a_fleet, forms_its_group_anew_when_a_member_or_the_head_starts_again_under_its_id)
@@ -196,7 +196,7 @@
                                      [](const auto& each) { return each->is_open(); }) == 1 &&
                        call(site.callers(), "POST", "/ask/x", headers, "why").head.status == 200;
             };
-            EXPECT_TRUE(wait_until(is_whole)) << id << " of life " << born;
+            EXPECT_TRUE(wait_until(is_whole)) << id << ", incarnation " << born;
             if (with_leader_lost && leader) {
                 site.start_control(*leader, false);
             }
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(unpack(packed, text.size()), text);
     EXPECT_EQ(unpack(pack(""), 0), "");
     EXPECT_FALSE(unpack(packed, text.size() - 1)) << "larger than allowed";
-    EXPECT_FALSE(unpack(packed.substr(0, packed.size() / 2), text.size())) << "cut";
+    EXPECT_FALSE(unpack(packed.substr(0, packed.size() / 2), text.size())) << "truncated";
     EXPECT_FALSE(unpack("no gzip", 100));
 }
 
@@ -233,7 +233,7 @@
     };
     apply_all();
     report_leaving(999);
-    EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier life";
+    EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier incarnation";
     report_leaving(1000);
     EXPECT_TRUE(state.is_leaving(runner));
     alive.sequence = 2;
--- a/tests/fleet/fleet_site.cpp
+++ b/tests/fleet/fleet_site.cpp
@@ -30,8 +30,8 @@
 {
     constexpr int first = 12'000;
     constexpr int count = 20'000;
-    constexpr int apart =
-        101; ///< distance between the first ports of processes with successive ids
+    /// Distance between the first ports of processes with successive ids.
+    constexpr int apart = 101;
     static int next = static_cast<int>(QCoreApplication::applicationPid() * apart % count);
     for (int tries = 0; tries < count; ++tries) {
         next = (next + 1) % count;
--- a/tests/fleet/fleet_state_test.cpp
+++ b/tests/fleet/fleet_state_test.cpp
@@ -212,7 +212,7 @@
         EXPECT_EQ(each->registrations().at(runner).born.value, 1001U);
     }
     state.apply(fleet_state::depart(runner, true, {1000}));
-    EXPECT_FALSE(state.is_leaving(runner)) << "a delayed departure of the earlier life";
+    EXPECT_FALSE(state.is_leaving(runner)) << "a delayed departure of the earlier incarnation";
     state.apply(fleet_state::depart(runner, false, {1001}));
     EXPECT_TRUE(state.is_leaving(runner));
     EXPECT_FALSE(state.is_gone(runner));
--- a/tests/fleet/group_conversion_test.cpp
+++ b/tests/fleet/group_conversion_test.cpp
@@ -82,16 +82,16 @@
     world.set_work(small, 1);
     EXPECT_FALSE(begin(start)) << "0.35 of the slots";
     world.set_work(large, 9);
-    EXPECT_TRUE(begin(start)) << "0.45";
+    EXPECT_TRUE(begin(start)) << "0.45 of the slots";
 }
 
 TEST_F(a_conversion, is_not_begun_where_the_giving_model_would_be_nearly_as_busy)
 {
     world.set_work(large, 16);
     world.set_work(small, 12.1);
-    EXPECT_FALSE(begin(start)) << "0.8 and 0.403 with one group less";
+    EXPECT_FALSE(begin(start)) << "utilization of 0.8, and of 0.403 with one group less";
     world.set_work(small, 12);
-    EXPECT_TRUE(begin(start)) << "0.8 and 0.4";
+    EXPECT_TRUE(begin(start)) << "utilization of 0.8, and of 0.4 with one group less";
 }
 
 TEST_F(a_conversion, settles_when_the_work_stays_the_same)
@@ -124,7 +124,7 @@
     world.set_work(small, 4);
     ASSERT_TRUE(begin(start));
     EXPECT_FALSE(begin(start + milliseconds{100})) << "the reports do not show the first one yet";
-    EXPECT_FALSE(begin(start + seconds{1})) << "4 of 22 runners are more than one of eight";
+    EXPECT_FALSE(begin(start + seconds{1})) << "4 of 22 runners are more than an eighth";
 }
 
 TEST_F(a_conversion, leaves_a_failure_domain_one_group_of_each_model)
@@ -142,7 +142,7 @@
             conversions.remove_finished(now, world.snapshot());
         }
     }
-    EXPECT_LE(retired, 3U) << "of four small ones in the only failure domain";
+    EXPECT_LE(retired, 3U) << "one of the four small groups remains in the only failure domain";
 }
 
 TEST_F(a_conversion, is_not_undone_before_its_effect_shows)
--- a/tests/fleet/group_planner_test.cpp
+++ b/tests/fleet/group_planner_test.cpp
@@ -42,8 +42,8 @@
     world.run(seconds{12});
     EXPECT_EQ(world.serving("large") * 4 + world.serving("small") * 3, 74U)
         << "no runner stays free";
-    EXPECT_GE(world.serving("large"), 8U) << "half of the runners, by four";
-    EXPECT_GE(world.serving("small"), 12U) << "the same by three";
+    EXPECT_GE(world.serving("large"), 8U) << "half of the runners, in groups of four";
+    EXPECT_GE(world.serving("small"), 12U) << "half of the runners, in groups of three";
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -156,8 +156,8 @@
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
-// Rule TWO. Guards against giving a member to another group while its head, which the leader can't
-// reach, still serves on the other side of a network partition.
+// Rule TWO (docs/DESIGN.md). Guards against giving a member to another group while its head, which
+// the leader can't reach, still serves on the other side of a network partition.
 TEST(a_member, is_free_for_another_group_only_once_it_has_itself_left_its_own)
 {
     struct scenario {
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -69,7 +69,7 @@
     world.add("b", 8, {});
     EXPECT_EQ(base_groups(world.snapshot(), world.pool(), world.model(large)), 2U);
     EXPECT_EQ(base_groups(world.snapshot(), world.pool(), world.model(small)), 3U)
-        << "8 of 16 runners, by 3";
+        << "8 of 16 runners, in groups of 3, rounded";
 }
 
 TEST_F(a_fleet_of_runners, gives_each_failure_domain_every_model)
@@ -96,8 +96,9 @@
     world.add("a0", 9, {});
     world.add("a1", 9, {});
     const auto formed = form_all();
-    EXPECT_EQ(formed.size(), 2U) << "one model in each";
-    EXPECT_EQ(world.count_free(), 1U) << "twice four of nine, and three times three";
+    EXPECT_EQ(formed.size(), 2U) << "one model in each fabric domain";
+    EXPECT_EQ(world.count_free(), 1U)
+        << "two groups of four in one domain of nine, three of three in the other";
     EXPECT_EQ(count(formed, large), 2U);
     EXPECT_EQ(count(formed, small), 3U);
 }
@@ -140,7 +141,7 @@
     world.set_work(large, 6);
     EXPECT_EQ(propose()->model->name, large);
     world.expect_groups(large, 1);
-    EXPECT_EQ(propose()->model->name, small) << "a conversion will form one of the large";
+    EXPECT_EQ(propose()->model->name, small) << "a conversion will form a group of the large model";
 }
 
 TEST_F(a_fleet_of_runners, lets_runners_change_their_model_only_for_one_much_shorter_of_room)
@@ -155,9 +156,9 @@
     world.set_work(small, 4);
     EXPECT_TRUE(propose());
     world.set_work(large, 2.1);
-    EXPECT_FALSE(propose()) << "the model that they hold is at 0.21";
+    EXPECT_FALSE(propose()) << "the model that they hold uses 0.21 of its slots";
     world.set_work(large, 2);
-    EXPECT_TRUE(propose()) << "0.2";
+    EXPECT_TRUE(propose()) << "0.2 of its slots";
     world.set_work(small, 0);
     for (std::size_t at = 0; at < 3; ++at) {
         world.set_loaded(at, small);
@@ -223,7 +224,7 @@
     const auto orders = stage();
     ASSERT_FALSE(orders.empty());
     EXPECT_EQ(orders.front().runner, world.runner(3).id);
-    EXPECT_EQ(orders.front().model, large) << "three of four have it";
+    EXPECT_EQ(orders.front().model, large) << "three of four runners have its weights";
     EXPECT_TRUE(staging.is_under_way(world.runner(3).id));
     for (const auto& order : stage()) {
         EXPECT_NE(order.runner, world.runner(3).id);
@@ -278,7 +279,8 @@
     const auto orders = stage();
     ASSERT_EQ(orders.size(), 1U);
     EXPECT_EQ(orders.front().runner, world.runner(8).id);
-    EXPECT_EQ(orders.front().model, large) << "survivors of its groups and this one make a group";
+    EXPECT_EQ(orders.front().model, large)
+        << "if a group loses a member, the others and this runner form one";
 }
 
 TEST_F(a_fleet_of_runners, prepares_runners_that_serve_for_a_model_much_shorter_of_room)
--- a/tests/fleet/planner_world.cpp
+++ b/tests/fleet/planner_world.cpp
@@ -11,7 +11,8 @@
 /// Loads that begin before the first request take a tenth of their time.
 constexpr instant first_request{seconds{1008}};
 constexpr duration time_to_drain = seconds{1};
-constexpr int most_in_flight = 29; ///< that entry daemons have in flight at a group of 26 slots
+/// Most requests that entry daemons have in flight at a group, which has 26 slots.
+constexpr int most_in_flight = 29;
 
 } // namespace
 
--- a/tests/fleet/planner_world.h
+++ b/tests/fleet/planner_world.h
@@ -34,8 +34,9 @@
 public:
     struct options {
         std::uint64_t seed = 1;
-        double late_orders =
-            0; ///< fraction of orders that get no answer and are carried out seconds later
+        /// Fraction of orders that get no answer and are carried out seconds later.
+        double late_orders = 0;
+        /// Weights load as fast after the first request as before it.
         bool weights_at_once = true;
         /// Runners refuse an order whose fence is below one that they have seen. Not all engines
         /// check this.
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -72,6 +72,7 @@
     void stream(const http_request& request, const std::shared_ptr<http_reply>& reply);
     /// Returns the head of an answer to the request, with the runner's rate limit and state.
     [[nodiscard]] http_head make_head(const http_request& request) const;
+    /// Refuses the request if `refuse_request` asks for it. Returns whether it was refused.
     [[nodiscard]] bool is_refused(const http_request& request,
                                   const std::shared_ptr<http_reply>& reply);
     void announce();
--- a/tests/fleet/runner_registry_test.cpp
+++ b/tests/fleet/runner_registry_test.cpp
@@ -55,10 +55,10 @@
     ASSERT_NE(record, nullptr);
     EXPECT_TRUE(registry.is_present(*record));
     EXPECT_EQ(record->latest.address.str(), "10.0.0.2:80");
-    EXPECT_FALSE(record->answered) << "the answer was from the earlier life";
+    EXPECT_FALSE(record->answered) << "the answer was from the earlier incarnation";
     EXPECT_FALSE(
         registry.announce(start + seconds{2}, heartbeat_of_incarnation(1000, "10.0.0.1:80", 6000)))
-        << "a heartbeat of the earlier life, regardless of its number";
+        << "a heartbeat of the earlier incarnation, regardless of its number";
     EXPECT_TRUE(registry.announce(start + seconds{3}, heartbeat_of("i-2", "10.0.0.1:80", 9)))
         << "the address that it has left is free";
     EXPECT_TRUE(is_present(registry, "i-2"));
