--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -58,7 +58,7 @@
 
 /// The effect of one request on all runners.
 struct crash_impact {
-    std::size_t ends = 0;           ///< arrivals; each crashes its runner or finds it ending
+    std::size_t ends = 0;           ///< arrivals; each crashes its runner or finds it crashing
     std::size_t arrivals_after = 0; ///< arrivals that the guarantee bounds
 };
 
@@ -109,7 +109,7 @@
         }
         std::sort(arrivals.begin(), arrivals.end());
         crash_impact out;
-        out.ends = arrivals.size(); // each crashes its runner, or arrives while it is ending
+        out.ends = arrivals.size(); // each crashes its runner, or arrives while it is crashing
         if (arrivals.size() >= crashes_before_guarantee) {
             const auto counted_from =
                 arrivals[crashes_before_guarantee - 1] + runners[0]->crash_delay + contact_time;
@@ -132,7 +132,7 @@
         EXPECT_GE(done.ends, crashes_before_guarantee)
             << body << " crashes the runners in this test";
         EXPECT_LE(done.arrivals_after, max_arrivals_after)
-            << body << ", " << done.ends << " in all";
+            << body << ", " << done.ends << " arrivals in all";
     }
 
     /// Tests run in parallel, so each needs its own addresses.
--- a/tests/quarantine/runner_incarnations_test.cpp
+++ b/tests/quarantine/runner_incarnations_test.cpp
@@ -68,7 +68,7 @@
     runner_incarnations incarnations;
     incarnations.expect(runner, first);
     EXPECT_FALSE(incarnations.on_heartbeat(at(100), runner, first))
-        << "the runner is in the same life";
+        << "the runner is in the same incarnation";
     EXPECT_TRUE(incarnations.on_heartbeat(at(900), runner, second));
     EXPECT_EQ(incarnations.incarnation_ended_by(runner, at(500)), first);
 }
