--- a/tests/rate_limits/limited_fleet_test.cpp
+++ b/tests/rate_limits/limited_fleet_test.cpp
@@ -140,7 +140,8 @@
     EXPECT_LE(highest_use(limited, rate, named + first_named_for), 1);
     EXPECT_GT(arrivals_since(limited, named + seconds{3}), rate * 6 * 0.4)
         << "the allowed rate is used";
-    EXPECT_GT(callers->served_share(named, steady_now()), 0.98) << "the others take the rest";
+    EXPECT_GT(callers->served_share(named, steady_now()), 0.98)
+        << "the other runners serve the rest";
 
     // The leader fails and restarts.
     const auto lost = fleet.leader();
@@ -151,7 +152,8 @@
     fleet.start(*lost, false);
     pass_time(seconds{3});
     EXPECT_LE(highest_use(limited, rate, killed), 1);
-    EXPECT_GT(arrivals_since(limited, killed + seconds{3}), 0) << "under the next leader as well";
+    EXPECT_GT(arrivals_since(limited, killed + seconds{3}), 0)
+        << "requests arrive under the next leader as well";
 
     // The runner names a lower limit.
     const double lower = rate / 2;
