--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -202,7 +202,8 @@
 
     EXPECT_EQ(count_requests_in_pauses(), 0);
     EXPECT_GT(count_pauses(), GetParam().entry_daemons) << "enough pauses were asked for";
-    EXPECT_GT(callers->served_share(began, steady_now()), 0.99) << "the others serve meanwhile";
+    EXPECT_GT(callers->served_share(began, steady_now()), 0.99)
+        << "the other runners serve meanwhile";
 }
 
 TEST_P(a_fleet_whose_runners_speak, refuses_at_once_while_all_have_asked_for_a_pause)
@@ -250,7 +251,7 @@
     pass_time(seconds{3});
     EXPECT_GT(pauses[0]->arrivals.size(),
               before + static_cast<std::size_t>(GetParam().entry_daemons))
-        << "the new life has asked for nothing";
+        << "the new incarnation has asked for no pause";
 }
 
 TEST_P(a_fleet_whose_runners_speak, spares_one_that_says_that_it_leaves)
@@ -275,7 +276,8 @@
     pass_time(seconds{5});
     EXPECT_EQ(count_after_leave(1, left_alone, left_alone).late, 0);
     EXPECT_EQ(count_after_leave(0, left, left + seconds{1}).late, 0);
-    EXPECT_GT(callers->served_share(left, steady_now()), 0.99) << "the others serve meanwhile";
+    EXPECT_GT(callers->served_share(left, steady_now()), 0.99)
+        << "the other runners serve meanwhile";
 
     // The next leader learns of the leave from the daemons.
     for (int which = 0; which < fleet_processes::control_count; ++which) {
--- a/tests/runner_signals/send_holds_test.cpp
+++ b/tests/runner_signals/send_holds_test.cpp
@@ -77,7 +77,7 @@
     holds.on_incarnations(start + seconds{400}, seen(second));
     EXPECT_EQ(holds.find(start + seconds{400}, runner), send_hold::none);
     EXPECT_FALSE(holds.on_leaving(start + seconds{401}, runner, first))
-        << "a late answer from the earlier life";
+        << "a late answer from the earlier incarnation";
     EXPECT_EQ(holds.find(start + seconds{401}, runner), send_hold::none);
 }
 
