--- a/tests/fleet/conversion_plans_test.cpp
+++ b/tests/fleet/conversion_plans_test.cpp
@@ -33,20 +33,20 @@
         }
         ASSERT_GT(world.groups_converted(), before);
     }
-    planner_world world{{.weights_at_once = false}};
+    planner_world world{{.fast_weight_loads = false}};
 };
 
 TEST_F(a_fleet_whose_work_changes, gives_the_busier_model_more_groups_within_seconds)
 {
-    const auto large = world.serving("large");
-    const auto small = world.serving("small");
+    const auto large = world.serving_groups("large");
+    const auto small = world.serving_groups("small");
     ASSERT_GE(large, 2U);
     ASSERT_GE(small, 4U);
 
     world.work["large"] = static_cast<int>(large) * 26;
     world.run(seconds{10});
-    EXPECT_GT(world.serving("large"), large) << "weights from the store would take longer";
-    EXPECT_LT(world.serving("small"), small);
+    EXPECT_GT(world.serving_groups("large"), large) << "weights from the store would take longer";
+    EXPECT_LT(world.serving_groups("small"), small);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -60,47 +60,47 @@
 {
     world.work["large"] = 100;
     world.run(seconds{60});
-    const auto there = world.groups_converted();
-    EXPECT_GE(there, 1U);
+    const auto after_change = world.groups_converted();
+    EXPECT_GE(after_change, 1U);
     world.run(seconds{60});
-    EXPECT_EQ(world.groups_converted(), there) << "unchanged work converts nothing more";
+    EXPECT_EQ(world.groups_converted(), after_change) << "unchanged work converts nothing more";
 
     world.work = {{"large", 20}, {"small", 120}};
     world.run(seconds{60});
-    const auto back = world.groups_converted();
-    EXPECT_GT(back, there);
-    EXPECT_LE(back - there, 12U) << "at most once per group";
+    const auto after_return = world.groups_converted();
+    EXPECT_GT(after_return, after_change);
+    EXPECT_LE(after_return - after_change, 12U) << "at most once per group";
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, serves_on_when_the_work_turns_half_way)
 {
-    for (int turn = 0; turn < 6; ++turn) {
-        world.work = turn % 2 == 0 ? std::map<std::string, int>{{"large", 120}, {"small", 20}}
-                                   : std::map<std::string, int>{{"large", 20}, {"small", 120}};
+    for (int n = 0; n < 6; ++n) {
+        world.work = n % 2 == 0 ? std::map<std::string, int>{{"large", 120}, {"small", 20}}
+                                : std::map<std::string, int>{{"large", 20}, {"small", 120}};
         world.run(seconds{4});
-        EXPECT_GE(world.serving("large"), 2U) << "one in each failure domain";
-        EXPECT_GE(world.serving("small"), 2U);
+        EXPECT_GE(world.serving_groups("large"), 2U) << "one in each failure domain";
+        EXPECT_GE(world.serving_groups("small"), 2U);
     }
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, loses_nothing_when_the_leader_changes_half_way)
 {
-    const auto large = world.serving("large");
+    const auto large = world.serving_groups("large");
     world.work["large"] = 120;
     run_until_converting();
     world.change_leader();
     world.run(seconds{15});
-    EXPECT_GT(world.serving("large"), large);
+    EXPECT_GT(world.serving_groups("large"), large);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
 TEST_F(a_fleet_whose_work_changes, uses_the_others_when_a_runner_under_conversion_dies)
 {
-    const auto all = world.serving("large") + world.serving("small");
+    const auto all_groups = world.serving_groups("large") + world.serving_groups("small");
     world.work["large"] = 120;
-    const auto before = world.alive();
+    const auto before = world.alive_runners();
     run_until_converting();
     // Any runner that is in no group now is under conversion.
     for (const auto& runner : before) {
@@ -111,7 +111,7 @@
     }
     world.kill(world.members_of_some_group("small").back());
     world.run(seconds{20});
-    EXPECT_GE(world.serving("large") + world.serving("small"), all - 3);
+    EXPECT_GE(world.serving_groups("large") + world.serving_groups("small"), all_groups - 3);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -119,18 +119,18 @@
 {
     world.work["large"] = 120;
     run_until_converting();
-    const auto everyone = world.alive();
-    for (std::size_t at = 0; at < everyone.size() / 2; ++at) {
-        world.set_unreachable(everyone[at], true);
+    const auto runners = world.alive_runners();
+    for (std::size_t n = 0; n < runners.size() / 2; ++n) {
+        world.set_unreachable(runners[n], true);
     }
     world.run(seconds{6});
     EXPECT_EQ(join_lines(world.violations()), "");
-    for (std::size_t at = 0; at < everyone.size() / 2; ++at) {
-        world.set_unreachable(everyone[at], false);
+    for (std::size_t n = 0; n < runners.size() / 2; ++n) {
+        world.set_unreachable(runners[n], false);
     }
     world.run(seconds{15});
-    EXPECT_GE(world.serving("large"), 3U);
-    EXPECT_GE(world.serving("small"), 2U);
+    EXPECT_GE(world.serving_groups("large"), 3U);
+    EXPECT_GE(world.serving_groups("small"), 2U);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
--- a/tests/fleet/group_planner_test.cpp
+++ b/tests/fleet/group_planner_test.cpp
@@ -16,8 +16,8 @@
     planner_world world{{}};
     world.add_runners("a-0", 9);
     world.run(seconds{6});
-    EXPECT_EQ(world.serving("large"), 1U);
-    EXPECT_EQ(world.serving("small"), 1U);
+    EXPECT_EQ(world.serving_groups("large"), 1U);
+    EXPECT_EQ(world.serving_groups("small"), 1U);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -27,8 +27,8 @@
     world.add_runners("a-0", 9);
     world.add_runners("a-1", 9);
     world.run(seconds{12});
-    EXPECT_EQ(world.serving("large"), 2U);
-    EXPECT_EQ(world.serving("small"), 3U) << "one runner of 18 stays free";
+    EXPECT_EQ(world.serving_groups("large"), 2U);
+    EXPECT_EQ(world.serving_groups("small"), 3U) << "one runner of 18 stays free";
     EXPECT_EQ(world.mixed_domains(), 0U);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
@@ -40,10 +40,10 @@
     world.add_runners("a-0", 37);
     world.add_runners("a-1", 37);
     world.run(seconds{12});
-    EXPECT_EQ(world.serving("large") * 4 + world.serving("small") * 3, 74U)
+    EXPECT_EQ(world.serving_groups("large") * 4 + world.serving_groups("small") * 3, 74U)
         << "no runner stays free";
-    EXPECT_GE(world.serving("large"), 8U) << "half of the runners, in groups of four";
-    EXPECT_GE(world.serving("small"), 12U) << "half of the runners, in groups of three";
+    EXPECT_GE(world.serving_groups("large"), 8U) << "half of the runners, in groups of four";
+    EXPECT_GE(world.serving_groups("small"), 12U) << "half of the runners, in groups of three";
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -52,12 +52,12 @@
     planner_world world{{}};
     world.add_runners("a-0", 9);
     world.run(seconds{12});
-    ASSERT_EQ(world.serving("large"), 1U);
+    ASSERT_EQ(world.serving_groups("large"), 1U);
     world.kill(world.members_of_some_group("large").back());
     world.run(seconds{1});
-    EXPECT_EQ(world.serving("large"), 0U);
+    EXPECT_EQ(world.serving_groups("large"), 0U);
     world.run(seconds{4});
-    EXPECT_EQ(world.serving("large"), 1U) << world.plan();
+    EXPECT_EQ(world.serving_groups("large"), 1U) << world.plan();
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -66,10 +66,10 @@
     planner_world world{{}};
     world.add_runners("a-0", 9);
     world.run(seconds{12});
-    ASSERT_EQ(world.serving("large"), 1U);
+    ASSERT_EQ(world.serving_groups("large"), 1U);
     world.kill(world.members_of_some_group("large").front());
     world.run(seconds{6});
-    EXPECT_EQ(world.serving("large"), 1U);
+    EXPECT_EQ(world.serving_groups("large"), 1U);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
 
@@ -80,10 +80,10 @@
     world.run(seconds{12});
     const auto members = world.members_of_some_group("large");
     ASSERT_EQ(members.size(), 4U);
-    world.set_cut(members.front(), true);
+    world.set_partitioned(members.front(), true);
     world.run(seconds{8});
     EXPECT_EQ(world.members_of_some_group("large"), members);
-    world.set_cut(members.front(), false);
+    world.set_partitioned(members.front(), false);
     world.run(seconds{3});
     EXPECT_EQ(world.members_of_some_group("large"), members);
     EXPECT_EQ(join_lines(world.violations()), "");
@@ -96,13 +96,13 @@
     world.run(seconds{12});
     const auto members = world.members_of_some_group("large");
     ASSERT_EQ(members.size(), 4U);
-    for (const auto& runner : world.alive()) {
+    for (const auto& runner : world.alive_runners()) {
         world.set_unreachable(runner, true);
     }
     world.run(seconds{3});
     world.deliver_late_heartbeat(members.back());
     world.run(seconds{2});
-    for (const auto& runner : world.alive()) {
+    for (const auto& runner : world.alive_runners()) {
         world.set_unreachable(runner, false);
     }
     world.run(seconds{4});
@@ -117,25 +117,25 @@
     world.add_runners("a-0", 9);
     world.add_runners("b-0", 9);
     world.run(seconds{12});
-    const auto everyone = world.alive();
+    const auto runners = world.alive_runners();
     std::vector<group_id> groups;
-    for (std::size_t at = 0; at < 9; ++at) {
-        groups.push_back(world.group_of(everyone[at]));
-        world.set_cut(everyone[at], true);
+    for (std::size_t n = 0; n < 9; ++n) {
+        groups.push_back(world.group_of(runners[n]));
+        world.set_partitioned(runners[n], true);
     }
     world.in_flight = 0; // no entry daemon on the leader's side uses them
     world.run(seconds{7});
-    for (std::size_t at = 0; at < 9; ++at) {
-        world.set_cut(everyone[at], false);
+    for (std::size_t n = 0; n < 9; ++n) {
+        world.set_partitioned(runners[n], false);
     }
     world.run(seconds{5});
     EXPECT_EQ(join_lines(world.violations()), "");
-    for (std::size_t at = 0; at < 9; ++at) {
-        EXPECT_EQ(world.group_of(everyone[at]), groups[at]) << everyone[at].str();
+    for (std::size_t n = 0; n < 9; ++n) {
+        EXPECT_EQ(world.group_of(runners[n]), groups[n]) << runners[n].str();
     }
-    EXPECT_EQ(world.serving("small"), 4U)
+    EXPECT_EQ(world.serving_groups("small"), 4U)
         << "three behind the partition, one formed on the leader's side";
-    EXPECT_EQ(world.serving("large"), 1U) << "the other one was converted";
+    EXPECT_EQ(world.serving_groups("large"), 1U) << "the other one was converted";
 }
 
 TEST(a_member, that_was_cut_off_while_its_group_ended_is_used_again)
@@ -149,7 +149,7 @@
     world.set_unreachable(members.back(), true);
     world.kill(members.front());
     world.run(seconds{8});
-    ASSERT_EQ(world.serving("large"), 1U) << "formed of the two that answered and of spares";
+    ASSERT_EQ(world.serving_groups("large"), 1U) << "formed of the two that answered and of spares";
     world.set_unreachable(members.back(), false);
     world.run(seconds{30});
     EXPECT_NE(world.group_of(members.back()), ended) << "it is still bound to the group";
@@ -169,7 +169,7 @@
          [](auto& world, const auto& members) { world.set_unreachable(members.front(), true); }},
         {"a new leader first receives the head's heartbeat from before the group",
          [](auto& world, const auto& members) {
-             world.set_cut(members.front(), true);
+             world.set_partitioned(members.front(), true);
              world.change_leader();
              world.deliver_held_back(members.front());
          }},
@@ -193,7 +193,7 @@
         planner_world world{{}};
         world.add_runners("a-0", 9);
         world.run(seconds{1});
-        for (const auto& runner : world.alive()) {
+        for (const auto& runner : world.alive_runners()) {
             world.hold_back_heartbeat(runner);
         }
         world.run(seconds{11});
@@ -225,7 +225,7 @@
     const auto leaving = world.members_of_some_group("large").back();
     world.drain(leaving);
     world.run(seconds{2});
-    EXPECT_EQ(world.serving("large"), 1U) << "requests are still in flight";
+    EXPECT_EQ(world.serving_groups("large"), 1U) << "requests are still in flight";
     world.in_flight = 0;
     world.run(seconds{4});
     world.in_flight = 4;
@@ -250,7 +250,7 @@
         world.run(seconds{4});
     }
     EXPECT_EQ(join_lines(world.violations()), "");
-    EXPECT_GE(world.serving("large") + world.serving("small"), 3U);
+    EXPECT_GE(world.serving_groups("large") + world.serving_groups("small"), 3U);
 }
 
 TEST(a_start, waits_until_no_more_runners_announce_themselves)
@@ -263,8 +263,8 @@
         world.add_runners(domain, 9);
     }
     world.run(seconds{10});
-    EXPECT_EQ(world.serving("large"), 4U);
-    EXPECT_EQ(world.serving("small"), 6U);
+    EXPECT_EQ(world.serving_groups("large"), 4U);
+    EXPECT_EQ(world.serving_groups("small"), 6U);
     EXPECT_EQ(world.mixed_domains(), 0U) << "no domain started with groups of both models";
     EXPECT_EQ(join_lines(world.violations()), "");
 }
@@ -281,7 +281,7 @@
     world.run(seconds{8});
     const auto new_group = world.group_of(members.back());
     ASSERT_NE(new_group, old_group);
-    ASSERT_EQ(world.serving("large"), 1U);
+    ASSERT_EQ(world.serving_groups("large"), 1U);
     ASSERT_TRUE(world.is_in_log(old_group)) << "its head has been unreachable since";
 
     world.change_leader();
@@ -296,17 +296,17 @@
 
 TEST(a_member, that_a_late_order_joins_again_to_the_group_that_it_left_is_not_free)
 {
-    planner_world world{{.fences = false}};
+    planner_world world{{.check_fences = false}};
     world.add_runners("a-0", 9);
     world.run(seconds{12});
     const auto members = world.members_of_some_group("large");
     ASSERT_EQ(members.size(), 4U);
     const auto old_group = world.group_of(members.front());
     std::vector<runner_id> spares;
-    for (const auto& runner : world.alive()) {
+    for (const auto& runner : world.alive_runners()) {
         if (world.group_of(runner) == group_id{}) {
             spares.push_back(runner);
-            world.set_cut(runner, true);
+            world.set_partitioned(runner, true);
         }
     }
     ASSERT_EQ(spares.size(), 2U);
@@ -318,7 +318,7 @@
     world.repeat_join(members.back(), milliseconds{100});
     world.run(seconds{3});
     for (const auto& runner : spares) {
-        world.set_cut(runner, false);
+        world.set_partitioned(runner, false);
     }
     world.run(seconds{6});
     EXPECT_EQ(join_lines(world.violations()), "");
@@ -339,10 +339,11 @@
     world.run(seconds{4});
     EXPECT_EQ(world.group_of(members.front()), group_id{})
         << "it has left, but its answer was lost";
-    EXPECT_EQ(world.serving("large"), 0U);
+    EXPECT_EQ(world.serving_groups("large"), 0U);
     world.lose_answers = false;
     world.run(seconds{5});
-    EXPECT_EQ(world.serving("large"), 1U) << "formed of those that answered the second order";
+    EXPECT_EQ(world.serving_groups("large"), 1U)
+        << "formed of those that answered the second order";
     EXPECT_NE(world.group_of(members.front()), ended);
     EXPECT_EQ(join_lines(world.violations()), "");
 }
--- a/tests/fleet/planner_world.cpp
+++ b/tests/fleet/planner_world.cpp
@@ -6,13 +6,13 @@
 namespace cedarpoint::testing_support {
 namespace {
 
-constexpr duration tick = milliseconds{20};
-constexpr duration heartbeat = milliseconds{1200};
+constexpr duration step_interval = milliseconds{20};
+constexpr duration heartbeat_interval = milliseconds{1200};
 /// Loads that begin before the first request take a tenth of their time.
 constexpr instant first_request{seconds{1008}};
-constexpr duration time_to_drain = seconds{1};
+constexpr duration drain_time = seconds{1};
 /// Most requests that entry daemons have in flight at a group, which has 26 slots.
-constexpr int most_in_flight = 29;
+constexpr int max_in_flight = 29;
 
 } // namespace
 
@@ -43,9 +43,9 @@
 
 void planner_world::change_leader()
 {
-    planner_options times;
-    times.heartbeat = heartbeat;
-    leader_.emplace(times, installed_platform(), state_);
+    planner_options group_options;
+    group_options.heartbeat = heartbeat_interval;
+    leader_.emplace(group_options, installed_platform(), state_);
     leader_->set_event_handler([this](const plan_event& event) {
         const bool converts =
             event.phase == plan_phase::retiring && event.reason.starts_with("makes room");
@@ -58,15 +58,15 @@
 
 void planner_world::add_runners(const std::string& domain, int count)
 {
-    for (int made = 0; made < count; ++made) {
-        const auto id = fmt::format("i-{:03}", ++runners_made_);
+    for (int n = 0; n < count; ++n) {
+        const auto id = fmt::format("i-{:03}", ++runners_added_);
         fake_runner next;
         next.announced.id = runner_id{id};
         next.announced.service = service_id{"pool"};
-        next.announced.address = *endpoint::parse(fmt::format("10.0.0.{}:80", runners_made_));
+        next.announced.address = *endpoint::parse(fmt::format("10.0.0.{}:80", runners_added_));
         next.announced.failure_domain = failure_domain_id{"zone-" + domain.substr(0, 1)};
         next.announced.fabric_domain = fabric_domain_id{domain};
-        next.next_heartbeat = now_ + milliseconds{17 * (runners_made_ % 60)};
+        next.next_heartbeat = now_ + milliseconds{17 * (runners_added_ % 60)};
         runners_.emplace(runner_id{id}, std::move(next));
     }
 }
@@ -87,9 +87,9 @@
     find(runner)->alive = false;
 }
 
-void planner_world::set_cut(const runner_id& runner, bool cut)
+void planner_world::set_partitioned(const runner_id& runner, bool partitioned)
 {
-    find(runner)->cut = cut;
+    find(runner)->partitioned = partitioned;
 }
 
 void planner_world::drain(const runner_id& runner)
@@ -101,7 +101,7 @@
 void planner_world::run(duration time)
 {
     for (const auto end = now_ + time; now_ < end;) {
-        now_ += tick;
+        now_ += step_interval;
         step();
     }
 }
@@ -111,15 +111,15 @@
     constexpr duration lease = milliseconds{500};
     suspended_ = true;
     for (const auto end = now_ + time; now_ < end;) {
-        now_ += tick;
+        now_ += step_interval;
         step_runners();
-        heartbeats();
+        send_heartbeats();
     }
     suspended_ = false;
     if (time >= lease) {
         change_leader();
     }
-    for (const auto& announced : std::exchange(queued_, {})) {
+    for (const auto& announced : std::exchange(queued_heartbeats_, {})) {
         leader_->announce(now_, announced);
     }
 }
@@ -127,10 +127,10 @@
 void planner_world::step()
 {
     step_runners();
-    heartbeats();
+    send_heartbeats();
     send_report();
     for (const auto& next : leader_->tick(now_)) {
-        perform(next);
+        execute(next);
     }
     leader_->refresh_view(now_);
 }
@@ -153,21 +153,21 @@
             runner.next_heartbeat = now_;
         }
     }
-    for (std::size_t at = 0; at < late_orders_.size();) {
-        if (late_orders_[at].at <= now_) {
-            const auto order = late_orders_[at].order;
-            late_orders_.erase(late_orders_.begin() + static_cast<std::ptrdiff_t>(at));
+    for (std::size_t n = 0; n < late_orders_.size();) {
+        if (late_orders_[n].at <= now_) {
+            const auto order = late_orders_[n].order;
+            late_orders_.erase(late_orders_.begin() + static_cast<std::ptrdiff_t>(n));
             carry_out(order);
         }
         else {
-            ++at;
+            ++n;
         }
     }
 }
 
 void planner_world::set_unreachable(const runner_id& runner, bool unreachable)
 {
-    set_cut(runner, unreachable);
+    set_partitioned(runner, unreachable);
     runners_.at(runner).unreachable = unreachable;
 }
 
@@ -187,31 +187,31 @@
 {
     auto& announced = runners_.at(runner).announced;
     ++announced.sequence;
-    held_back_[runner] = announced;
+    held_back_heartbeats_[runner] = announced;
 }
 
 void planner_world::deliver_held_back(const runner_id& runner)
 {
-    leader_->announce(now_, held_back_.at(runner));
+    leader_->announce(now_, held_back_heartbeats_.at(runner));
 }
 
 void planner_world::deliver_all_held_back()
 {
-    for (const auto& [runner, announced] : held_back_) {
+    for (const auto& [runner, announced] : held_back_heartbeats_) {
         if (runners_.at(runner).alive) {
             leader_->announce(now_, announced);
         }
     }
 }
 
-void planner_world::heartbeats()
+void planner_world::send_heartbeats()
 {
     for (auto& [id, runner] : runners_) {
-        if (runner.alive && !runner.cut && now_ >= runner.next_heartbeat) {
+        if (runner.alive && !runner.partitioned && now_ >= runner.next_heartbeat) {
             ++runner.announced.sequence;
-            runner.next_heartbeat = now_ + heartbeat;
+            runner.next_heartbeat = now_ + heartbeat_interval;
             if (suspended_) {
-                queued_.push_back(runner.announced);
+                queued_heartbeats_.push_back(runner.announced);
             }
             else {
                 leader_->announce(now_, runner.announced);
@@ -220,7 +220,7 @@
     }
 }
 
-bool planner_world::group_moves(const fake_runner& head) const
+bool planner_world::makes_progress(const fake_runner& head) const
 {
     const auto& membership = *head.announced.membership;
     const auto list =
@@ -237,15 +237,15 @@
 {
     // Entry daemons send no new requests to a group that is retired for another model.
     const auto converted = converted_.find(head.announced.membership->group);
-    if (converted != converted_.end() && now_ - converted->second > time_to_drain) {
+    if (converted != converted_.end() && now_ - converted->second > drain_time) {
         return 0;
     }
     const auto found = work.find(head.announced.models.front().str());
     if (found == work.end()) {
         return in_flight;
     }
-    const auto groups = std::max<std::size_t>(serving(found->first), 1);
-    return std::min(found->second / static_cast<int>(groups), most_in_flight);
+    const auto groups = std::max<std::size_t>(serving_groups(found->first), 1);
+    return std::min(found->second / static_cast<int>(groups), max_in_flight);
 }
 
 void planner_world::send_report()
@@ -260,12 +260,12 @@
         const auto& membership = runner.announced.membership;
         const bool open = membership && membership->phase == member_phase::open;
         if (open && in_flight_at(runner) > 0) {
-            const bool moves = runner.alive && !runner.unreachable && group_moves(runner);
+            const bool progresses = runner.alive && !runner.unreachable && makes_progress(runner);
             auto* seen = report.add_sightings();
             seen->set_runner(id.str());
             seen->set_in_flight(static_cast<std::uint32_t>(in_flight_at(runner)));
-            seen->set_silent_ms(moves ? 10 : 500);
-            seen->set_byte_ms(moves ? 10 : 500);
+            seen->set_silent_ms(progresses ? 10 : 500);
+            seen->set_byte_ms(progresses ? 10 : 500);
         }
         if (!runner.alive || runner.unreachable) {
             auto* check = report.add_checks();
@@ -276,14 +276,14 @@
     leader_->on_follow(now_, daemon_id{"entry-1"}, report);
 }
 
-void planner_world::perform(const planner_step& step)
+void planner_world::execute(const planner_step& step)
 {
     if (step.kind == planner_step::kind_t::record) {
         state_.apply(step.command);
         return;
     }
     auto* runner = find(step.order.to);
-    const bool reached = runner != nullptr && runner->alive && !runner->cut;
+    const bool reached = runner != nullptr && runner->alive && !runner->partitioned;
     if (step.kind == planner_step::kind_t::probe) {
         if (reached) {
             leader_->on_probe_answered(now_, step.order.to);
@@ -297,7 +297,7 @@
     if (!reached) {
         leader_->on_order_result(now_, step.order, order_result::unknown);
     }
-    else if (draw(random_) < options_.late_orders) {
+    else if (draw(random_) < options_.late_order_fraction) {
         std::uniform_int_distribution<int> delay(2000, 12'000);
         late_orders_.push_back({now_ + milliseconds{delay(random_)}, step.order});
         leader_->on_order_result(now_, step.order, order_result::unknown);
@@ -314,7 +314,7 @@
     if (runner == nullptr || !runner->alive) {
         return order_result::unknown;
     }
-    if (options_.fences && order.fence < runner->highest_fence) {
+    if (options_.check_fences && order.fence < runner->highest_fence) {
         return order_result::fenced;
     }
     runner->highest_fence = std::max(runner->highest_fence, order.fence);
@@ -326,9 +326,9 @@
         return join(*runner, order);
     }
     auto& membership = runner->announced.membership;
-    const bool fits = membership && membership->group == order.group &&
-                      membership->assignment == order.assignment;
-    if (!fits) {
+    const bool is_member = membership && membership->group == order.group &&
+                           membership->assignment == order.assignment;
+    if (!is_member) {
         return order_result::unfit;
     }
     runner->next_heartbeat = now_;
@@ -386,8 +386,8 @@
         return milliseconds{1600};
     }
     staged = {model};
-    const bool quick = options_.weights_at_once || now_ < first_request;
-    return quick ? milliseconds{1600} : milliseconds{16'000};
+    const bool fast = options_.fast_weight_loads || now_ < first_request;
+    return fast ? milliseconds{1600} : milliseconds{16'000};
 }
 
 void planner_world::check_join(const group_order& order)
@@ -401,8 +401,8 @@
         }
         const auto& members =
             member_lists_[member_list_key(membership->group, membership->assignment.value)];
-        const auto& own = find(order.to)->announced.membership;
-        const bool belongs = own && own->group == membership->group &&
+        const auto& current = find(order.to)->announced.membership;
+        const bool belongs = current && current->group == membership->group &&
                              std::find(members.begin(), members.end(), order.to) != members.end();
         if (belongs) {
             violations_.push_back(fmt::format("{} joined {} while {} is open", order.to.str(),
--- a/tests/fleet/planner_world.h
+++ b/tests/fleet/planner_world.h
@@ -17,7 +17,7 @@
     model_id loaded;        ///< model of the last group that it joined
     bool alive = true;
     bool unreachable = false; ///< no entry daemon on the leader's side can connect to it
-    bool cut = false;         ///< no traffic passes between it and the leader's side
+    bool partitioned = false; ///< no traffic passes between it and the leader's side
     instant next_heartbeat;
     instant ready_at;
     instant open_at;
@@ -35,12 +35,12 @@
     struct options {
         std::uint64_t seed = 1;
         /// Fraction of orders that get no answer and are carried out seconds later.
-        double late_orders = 0;
+        double late_order_fraction = 0;
         /// Weights load as fast after the first request as before it.
-        bool weights_at_once = true;
+        bool fast_weight_loads = true;
         /// Runners refuse an order whose fence is below one that they have seen. Not all engines
         /// check this.
-        bool fences = true;
+        bool check_fences = true;
     };
 
     explicit planner_world(options options);
@@ -55,7 +55,7 @@
     /// one.
     void suspend_control(duration time);
     void kill(const runner_id& runner);
-    void set_cut(const runner_id& runner, bool cut);
+    void set_partitioned(const runner_id& runner, bool partitioned);
     /// Partitions the runner from the leader and from the entry daemons on the leader's side. It
     /// continues to serve on its own side.
     void set_unreachable(const runner_id& runner, bool unreachable);
@@ -70,11 +70,11 @@
     void repeat_join(const runner_id& runner, duration delay);
     void drain(const runner_id& runner);
 
-    [[nodiscard]] std::size_t serving(const std::string& model) const;
+    [[nodiscard]] std::size_t serving_groups(const std::string& model) const;
     [[nodiscard]] std::vector<runner_id> members_of_some_group(const std::string& model) const;
     /// Returns the runner's group; empty if it is in none.
     [[nodiscard]] group_id group_of(const runner_id& runner) const;
-    [[nodiscard]] std::vector<runner_id> alive() const;
+    [[nodiscard]] std::vector<runner_id> alive_runners() const;
     [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
     /// Counts groups that were formed across several fabric domains.
     [[nodiscard]] std::size_t spread_groups() const;
@@ -101,9 +101,9 @@
 
     void step();
     void step_runners();
-    void heartbeats();
+    void send_heartbeats();
     void send_report();
-    void perform(const planner_step& step);
+    void execute(const planner_step& step);
     order_result carry_out(const group_order& order);
     order_result join(fake_runner& runner, const group_order& order);
     /// Makes the runner load the model, and returns how long that takes.
@@ -111,7 +111,7 @@
     [[nodiscard]] int in_flight_at(const fake_runner& head) const;
     void check_join(const group_order& order);
     void check_open(const fake_runner& head, const group_order& order);
-    [[nodiscard]] bool group_moves(const fake_runner& head) const;
+    [[nodiscard]] bool makes_progress(const fake_runner& head) const;
     fake_runner* find(const runner_id& runner);
     [[nodiscard]] static std::string member_list_key(const group_id& group,
                                                      std::uint64_t epoch_value);
@@ -125,12 +125,13 @@
     std::map<runner_id, fake_runner> runners_;
     std::map<std::string, std::vector<runner_id>> member_lists_; ///< members by group and epoch
     std::vector<late_order> late_orders_;
-    std::map<runner_id, announcement> held_back_;
-    std::vector<announcement> queued_; ///< heartbeats sent while the control daemons are suspended
+    std::map<runner_id, announcement> held_back_heartbeats_;
+    /// Heartbeats sent while the control daemons are suspended.
+    std::vector<announcement> queued_heartbeats_;
     bool suspended_ = false;
     std::map<runner_id, group_order> latest_joins_;
     std::vector<std::string> violations_;
-    int runners_made_ = 0;
+    int runners_added_ = 0;
     std::map<group_id, instant> converted_; ///< groups retired in favour of another model, and when
 };
 
--- a/tests/fleet/planner_world_queries.cpp
+++ b/tests/fleet/planner_world_queries.cpp
@@ -13,7 +13,7 @@
     return membership ? membership->group : group_id{};
 }
 
-std::vector<runner_id> planner_world::alive() const
+std::vector<runner_id> planner_world::alive_runners() const
 {
     std::vector<runner_id> out;
     for (const auto& [id, runner] : runners_) {
@@ -29,14 +29,14 @@
     return state_.groups().contains(group);
 }
 
-std::size_t planner_world::serving(const std::string& model) const
+std::size_t planner_world::serving_groups(const std::string& model) const
 {
     std::size_t out = 0;
     for (const auto& [id, runner] : runners_) {
         const auto& membership = runner.announced.membership;
         const bool open = runner.alive && membership && membership->phase == member_phase::open &&
                           runner.announced.models == std::vector{model_id{model}};
-        out += open && group_moves(runner) ? 1 : 0;
+        out += open && makes_progress(runner) ? 1 : 0;
     }
     return out;
 }
--- a/tests/fleet/random_plans_test.cpp
+++ b/tests/fleet/random_plans_test.cpp
@@ -23,35 +23,35 @@
 protected:
     /// `kinds`: number of fault kinds to draw from. With `fault_kinds` + 1, the control daemons
     /// are suspended as well.
-    static void run_plan(std::uint64_t seed, bool fences, std::uint64_t kinds);
+    static void run_plan(std::uint64_t seed, bool check_fences, std::uint64_t kinds);
 };
 
-void random_plans::run_plan(std::uint64_t seed, bool fences, std::uint64_t kinds)
+void random_plans::run_plan(std::uint64_t seed, bool check_fences, std::uint64_t kinds)
 {
-    planner_world world{{.seed = seed, .late_orders = 0.35, .fences = fences}};
+    planner_world world{{.seed = seed, .late_order_fraction = 0.35, .check_fences = check_fences}};
     world.add_runners("a-0", 9);
     world.add_runners("a-1", 9);
     world.add_runners("b-0", 9);
     std::mt19937_64 random{seed * 7919};
     world.run(seconds{10});
-    std::vector<runner_id> cut;
+    std::vector<runner_id> partitioned;
     for (int round = 0; round < 60; ++round) {
-        const auto alive = world.alive();
-        const auto& one = alive[random() % alive.size()];
+        const auto runners = world.alive_runners();
+        const auto& chosen = runners[random() % runners.size()];
         switch (random() % kinds) {
         case 0:
-            world.kill(one);
+            world.kill(chosen);
             world.add_runners(round % 2 == 0 ? "a-0" : "b-0", 1);
             break;
         case 1:
-            world.set_cut(one, true);
-            cut.push_back(one);
+            world.set_partitioned(chosen, true);
+            partitioned.push_back(chosen);
             break;
         case 2:
-            for (const auto& each : cut) {
+            for (const auto& each : partitioned) {
                 world.set_unreachable(each, false);
             }
-            cut.clear();
+            partitioned.clear();
             break;
         case 3:
             world.change_leader();
@@ -60,15 +60,15 @@
             world.in_flight = static_cast<int>(random() % 30);
             break;
         case 5:
-            world.drain(one);
+            world.drain(chosen);
             world.add_runners("a-1", 1);
             break;
         case 6:
-            world.set_unreachable(one, true);
-            cut.push_back(one);
+            world.set_unreachable(chosen, true);
+            partitioned.push_back(chosen);
             break;
         case 7:
-            for (const auto& each : alive) {
+            for (const auto& each : runners) {
                 world.hold_back_heartbeat(each);
             }
             break;
@@ -85,26 +85,26 @@
         world.run(milliseconds{200 + random() % 1500});
         ASSERT_EQ(join_lines(world.violations()), "") << "seed " << seed << " round " << round;
     }
-    for (const auto& each : cut) {
+    for (const auto& each : partitioned) {
         world.set_unreachable(each, false);
     }
     world.in_flight = 4;
     world.run(seconds{40});
     EXPECT_EQ(join_lines(world.violations()), "");
-    EXPECT_GE(world.serving("large") + world.serving("small"), 2U);
+    EXPECT_GE(world.serving_groups("large") + world.serving_groups("small"), 2U);
     EXPECT_EQ(world.spread_groups(), 0U) << "a group lies in one fabric domain";
 }
 
 TEST_P(random_plans, keep_the_rules_while_runners_and_leaders_come_and_go)
 {
-    const auto [seed, fences] = GetParam();
-    run_plan(seed, fences, fault_kinds);
+    const auto [seed, check_fences] = GetParam();
+    run_plan(seed, check_fences, fault_kinds);
 }
 
 TEST_P(random_plans, keep_the_rules_while_control_daemons_are_suspended_as_well)
 {
-    const auto [seed, fences] = GetParam();
-    run_plan(seed, fences, fault_kinds + 1);
+    const auto [seed, check_fences] = GetParam();
+    run_plan(seed, check_fences, fault_kinds + 1);
 }
 
 const std::uint64_t first_seed = number_from_environment("PLANS_FIRST", 1);
