--- a/tests/fleet/platform_runner.cpp
+++ b/tests/fleet/platform_runner.cpp
@@ -22,10 +22,10 @@
 } // namespace
 
 platform_runner::platform_runner(std::string id, std::string service,
-                                 std::vector<endpoint> controls, std::uint64_t born,
+                                 std::vector<endpoint> controls, std::uint64_t start_ms,
                                  std::uint64_t sequence)
-    : id_{std::move(id)}, service_{std::move(service)}, controls_{std::move(controls)}, born_{born},
-      sequence_{sequence}
+    : id_{std::move(id)}, service_{std::move(service)}, controls_{std::move(controls)},
+      start_ms_{start_ms}, sequence_{sequence}
 {
     QObject::connect(&timer_, &QTimer::timeout, [this] { announce(); });
     begin_incarnation();
@@ -70,7 +70,7 @@
     group_.clear();
     state_.clear();
     sequence_ = 0;
-    ++born_;
+    ++start_ms_;
     QTimer::singleShot(restart_delay, &timer_, [this] { begin_incarnation(); });
 }
 
@@ -87,8 +87,8 @@
              {"domain", "z-d0"},
              {"staged", {"small"}},
              {"models", json::array({{{"name", "small"}, {"version", 1}}})}};
-    if (born_ > 0) {
-        out["born"] = born_;
+    if (start_ms_ > 0) {
+        out["born"] = start_ms_;
     }
     if (!group_.empty()) {
         out["group"] = {{"name", group_}, {"epoch", epoch_}, {"rank", rank_}, {"state", state_}};
@@ -108,7 +108,7 @@
     request.bytes = fmt::format("POST /cedarpoint/instances/{}/heartbeat HTTP/1.1\r\n"
                                 "Host: h\r\nContent-Length: {}\r\n\r\n{}",
                                 id_, body.size(), body);
-    auto* connection = pool_.take(controls_[control_]);
+    auto* connection = pool_.take(controls_[control_index_]);
     const auto status = std::make_shared<int>(0);
     exchange_handlers handlers;
     handlers.on_head = [status](const http_head& head) { *status = head.status; };
@@ -120,7 +120,7 @@
             drain_acknowledged_ = drain_acknowledged_ || reports_draining;
             return;
         }
-        control_ = (control_ + 1) % controls_.size();
+        control_index_ = (control_index_ + 1) % controls_.size();
     };
     connection->start(std::move(request), std::move(handlers));
 }
@@ -138,7 +138,7 @@
         return;
     }
     if (request.target == "/cedarpoint/order") {
-        take_order(request, reply);
+        on_order(request, reply);
         return;
     }
     accounts.emplace_back(request.fields.get("X-Cedarpoint-Tenant"));
@@ -149,7 +149,7 @@
         reply->send(std::move(head), "");
         return;
     }
-    if (is_refused(request, reply)) {
+    if (try_refuse(request, reply)) {
         return;
     }
     auto head = make_head(request);
@@ -191,7 +191,7 @@
     return out;
 }
 
-bool platform_runner::is_refused(const http_request& request,
+bool platform_runner::try_refuse(const http_request& request,
                                  const std::shared_ptr<http_reply>& reply)
 {
     if (!refuse_request) {
@@ -242,8 +242,8 @@
     reply->finish();
 }
 
-void platform_runner::take_order(const http_request& request,
-                                 const std::shared_ptr<http_reply>& reply)
+void platform_runner::on_order(const http_request& request,
+                               const std::shared_ptr<http_reply>& reply)
 {
     const auto order = json::parse(request.body);
     const auto op = order.at("op").get<std::string>();
--- a/tests/fleet/platform_runner.h
+++ b/tests/fleet/platform_runner.h
@@ -23,10 +23,10 @@
 /// requests with three events or a plain text.
 class platform_runner {
 public:
-    /// `born`: start time in its heartbeats, 0 if they have none. `sequence`: sequence number
-    /// before its first heartbeat.
+    /// `start_ms`: start time in its heartbeats in Unix milliseconds, 0 if they have none.
+    /// `sequence`: sequence number before its first heartbeat.
     platform_runner(std::string id, std::string service, std::vector<endpoint> controls,
-                    std::uint64_t born = 0, std::uint64_t sequence = 0);
+                    std::uint64_t start_ms = 0, std::uint64_t sequence = 0);
     platform_runner(const platform_runner&) = delete;
     platform_runner& operator=(const platform_runner&) = delete;
     ~platform_runner() = default;
@@ -62,18 +62,18 @@
         instant at;
         std::string request;
         std::string body;
-        bool told = false; ///< the answer contains a rate limit
+        bool has_rate_limit = false; ///< the answer contains a rate limit
     };
     std::vector<arrival> arrivals; ///< requests that ran
 
 private:
     void on_request(const http_request& request, const std::shared_ptr<http_reply>& reply);
-    void take_order(const http_request& request, const std::shared_ptr<http_reply>& reply);
+    void on_order(const http_request& request, const std::shared_ptr<http_reply>& reply);
     void stream(const http_request& request, const std::shared_ptr<http_reply>& reply);
     /// Returns the head of an answer to the request, with the runner's rate limit and state.
     [[nodiscard]] http_head make_head(const http_request& request) const;
     /// Refuses the request if `refuse_request` asks for it. Returns whether it was refused.
-    [[nodiscard]] bool is_refused(const http_request& request,
+    [[nodiscard]] bool try_refuse(const http_request& request,
                                   const std::shared_ptr<http_reply>& reply);
     void announce();
     void begin_incarnation();
@@ -84,7 +84,7 @@
     std::string id_;
     std::string service_;
     std::vector<endpoint> controls_;
-    std::size_t control_ = 0;
+    std::size_t control_index_ = 0; ///< of the control daemon that receives the heartbeats
     std::unique_ptr<http_listener> listener_; ///< null while down, unless `keeps_port_open`
     bool is_down_ = false;
     endpoint address_{"127.0.0.1", 0}; ///< kept across restarts
@@ -93,7 +93,7 @@
     bool announcing_ = false;
     bool draining_ = false;
     bool drain_acknowledged_ = false;
-    std::uint64_t born_;
+    std::uint64_t start_ms_;
     std::uint64_t sequence_;
     int served_ = 0;
     std::string group_;
--- a/tests/rate_limits/limited_fleet_test.cpp
+++ b/tests/rate_limits/limited_fleet_test.cpp
@@ -54,24 +54,24 @@
 {
     std::map<int, instant> informed_at;
     std::vector<instant> counted;
-    double worst = 0;
+    double highest = 0;
     for (const auto& each : runner.arrivals) {
         const int sender = sender_of(each.request);
         if (const auto first = informed_at.find(sender);
             first != informed_at.end() && each.at - first->second >= informed_for) {
             counted.push_back(each.at);
         }
-        if (each.told) {
+        if (each.has_rate_limit) {
             informed_at.emplace(sender, each.at);
         }
     }
     for (auto end = counted.begin(); end != counted.end(); ++end) {
         if (*end >= from) {
             const auto first = std::upper_bound(counted.begin(), end, *end - window);
-            worst = std::max(worst, static_cast<double>(end - first + 1));
+            highest = std::max(highest, static_cast<double>(end - first + 1));
         }
     }
-    return worst / (allowed_factor * rate * 4 + allowed_extra);
+    return highest / (allowed_factor * rate * 4 + allowed_extra);
 }
 
 struct site_shape {
@@ -94,8 +94,8 @@
     void SetUp() override
     {
         fleet.start_all();
-        for (int made = 0; made < 3; ++made) {
-            runners.push_back(std::make_unique<platform_runner>(fmt::format("s-{}", made), "shop",
+        for (int n = 0; n < 3; ++n) {
+            runners.push_back(std::make_unique<platform_runner>(fmt::format("s-{}", n), "shop",
                                                                 fleet.controls()));
             // Without this, response times vary at random, and one runner may be ranked as slow.
             runners.back()->answer_time = milliseconds{20};
@@ -134,61 +134,62 @@
 {
     auto& limited = *runners[0];
     const double rate = shape.limit_of_one;
-    const auto named = steady_now();
+    const auto named_at = steady_now();
     limited.rate_limit = fmt::format("{}", rate);
     pass_time(seconds{9});
-    EXPECT_LE(highest_use(limited, rate, named + first_named_for), 1);
-    EXPECT_GT(arrivals_since(limited, named + seconds{3}), rate * 6 * 0.4)
+    EXPECT_LE(highest_use(limited, rate, named_at + first_named_for), 1);
+    EXPECT_GT(arrivals_since(limited, named_at + seconds{3}), rate * 6 * 0.4)
         << "the allowed rate is used";
-    EXPECT_GT(callers->served_share(named, steady_now()), 0.98)
+    EXPECT_GT(callers->served_share(named_at, steady_now()), 0.98)
         << "the other runners serve the rest";
 
     // The leader fails and restarts.
-    const auto lost = fleet.leader();
-    ASSERT_TRUE(lost.has_value());
-    const auto killed = steady_now();
-    fleet.at(*lost).signal(SIGKILL);
+    const auto failed_leader = fleet.leader();
+    ASSERT_TRUE(failed_leader.has_value());
+    const auto killed_at = steady_now();
+    fleet.at(*failed_leader).signal(SIGKILL);
     pass_time(seconds{5});
-    fleet.start(*lost, false);
+    fleet.start(*failed_leader, false);
     pass_time(seconds{3});
-    EXPECT_LE(highest_use(limited, rate, killed), 1);
-    EXPECT_GT(arrivals_since(limited, killed + seconds{3}), 0)
+    EXPECT_LE(highest_use(limited, rate, killed_at), 1);
+    EXPECT_GT(arrivals_since(limited, killed_at + seconds{3}), 0)
         << "requests arrive under the next leader as well";
 
     // The runner names a lower limit.
     const double lower = rate / 2;
     limited.rate_limit = fmt::format("{}", lower);
-    const auto changed = steady_now();
+    const auto changed_at = steady_now();
     pass_time(seconds{8});
-    EXPECT_LE(highest_use(limited, lower, changed + window + informed_for), 1);
+    EXPECT_LE(highest_use(limited, lower, changed_at + window + informed_for), 1);
 
     // The runner stops naming a limit.
     limited.rate_limit.clear();
     pass_time(seconds{6});
-    const auto even = shape.requests_per_second / 3;
+    const auto equal_share = shape.requests_per_second / 3;
     pass_time(seconds{2});
-    const auto got = arrivals_since(limited, steady_now() - seconds{2});
-    EXPECT_GT(static_cast<double>(got), even) << "half of its equal share in two seconds";
+    const auto received = arrivals_since(limited, steady_now() - seconds{2});
+    EXPECT_GT(static_cast<double>(received), equal_share)
+        << "half of its equal share in two seconds";
 }
 
 TEST_P(a_limited_fleet, refuses_at_once_what_all_runners_together_do_not_take)
 {
     const double rate = shape.limit_of_all;
-    const auto named = steady_now();
+    const auto named_at = steady_now();
     for (const auto& runner : runners) {
         runner->rate_limit = fmt::format("{}", rate);
     }
     pass_time(seconds{9});
-    double used = 0;
+    double arrivals = 0;
     for (const auto& runner : runners) {
-        EXPECT_LE(highest_use(*runner, rate, named + first_named_for), 1) << runner->id();
-        used += static_cast<double>(arrivals_since(*runner, named + seconds{3}));
+        EXPECT_LE(highest_use(*runner, rate, named_at + first_named_for), 1) << runner->id();
+        arrivals += static_cast<double>(arrivals_since(*runner, named_at + seconds{3}));
     }
-    EXPECT_GT(used, rate * 3 * 6 * 0.6) << "the allowed rate is used";
+    EXPECT_GT(arrivals, rate * 3 * 6 * 0.6) << "the allowed rate is used";
     for (const auto& each : callers->results) {
-        const bool known = each.ended > named + seconds{2};
+        const bool limits_known = each.ended > named_at + seconds{2};
         EXPECT_TRUE(each.status == 200 || each.status == 503) << each.status;
-        EXPECT_TRUE(!known || each.status == 200 || each.took < at_once) << to_ms(each.took);
+        EXPECT_TRUE(!limits_known || each.status == 200 || each.took < at_once) << to_ms(each.took);
     }
 }
 
