--- a/tests/quarantine/crash_ledger_test.cpp
+++ b/tests/quarantine/crash_ledger_test.cpp
@@ -114,9 +114,9 @@
 {
     // Times are sent as ages, so they seem later in a report that was delayed.
     ledger.add(cause, crash("a", 30, 80));
-    crash_history whole;
-    whole.crashes = {crash("a", 0, 50), crash("b", 50, 100)};
-    ledger.merge(cause, whole);
+    crash_history history;
+    history.crashes = {crash("a", 0, 50), crash("b", 50, 100)};
+    ledger.merge(cause, history);
     EXPECT_EQ(count(cause), 2) << "the times within one report are consistent";
 }
 
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -58,7 +58,7 @@
 
 /// The effect of one request on all runners.
 struct crash_impact {
-    std::size_t ends = 0;           ///< arrivals; each crashes its runner or finds it crashing
+    std::size_t arrivals = 0;       ///< each crashes its runner, or arrives while it is crashing
     std::size_t arrivals_after = 0; ///< arrivals that the guarantee bounds
 };
 
@@ -67,9 +67,9 @@
     void SetUp() override
     {
         fleet.start_all();
-        for (int made = 0; made < runner_count; ++made) {
+        for (int n = 0; n < runner_count; ++n) {
             runners.push_back(std::make_unique<platform_runner>(
-                fmt::format("s-{}", made), "shop", fleet.controls(), std::uint64_t{1000}));
+                fmt::format("s-{}", n), "shop", fleet.controls(), std::uint64_t{1000}));
             runners.back()->answer_time = milliseconds{20};
             runners.back()->crash_trigger = "ends-runners";
         }
@@ -109,7 +109,7 @@
         }
         std::sort(arrivals.begin(), arrivals.end());
         crash_impact out;
-        out.ends = arrivals.size(); // each crashes its runner, or arrives while it is crashing
+        out.arrivals = arrivals.size();
         if (arrivals.size() >= crashes_before_guarantee) {
             const auto counted_from =
                 arrivals[crashes_before_guarantee - 1] + runners[0]->crash_delay + contact_time;
@@ -128,22 +128,22 @@
 
     void expect_guarantee(const std::string& body) const
     {
-        const auto done = crash_impact_of(body);
-        EXPECT_GE(done.ends, crashes_before_guarantee)
+        const auto impact = crash_impact_of(body);
+        EXPECT_GE(impact.arrivals, crashes_before_guarantee)
             << body << " crashes the runners in this test";
-        EXPECT_LE(done.arrivals_after, max_arrivals_after)
-            << body << ", " << done.ends << " arrivals in all";
+        EXPECT_LE(impact.arrivals_after, max_arrivals_after)
+            << body << ", " << impact.arrivals << " arrivals in all";
     }
 
     /// Tests run in parallel, so each needs its own addresses.
     [[nodiscard]] static int net_of_this_test()
     {
         const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
-        constexpr std::array<std::string_view, 5> tests{"sends_it", "keeps", "tells_it",
-                                                        "counts_ends", "refuses_no"};
-        const auto own = std::find_if(tests.begin(), tests.end(),
-                                      [&](auto each) { return name.starts_with(each); });
-        return GetParam().net + static_cast<int>(own - tests.begin());
+        constexpr std::array<std::string_view, 5> test_prefixes{"sends_it", "keeps", "tells_it",
+                                                                "counts_ends", "refuses_no"};
+        const auto found = std::find_if(test_prefixes.begin(), test_prefixes.end(),
+                                        [&](auto each) { return name.starts_with(each); });
+        return GetParam().net + static_cast<int>(found - test_prefixes.begin());
     }
 
     int net = net_of_this_test();
@@ -170,19 +170,19 @@
     }
 
     // The leader fails.
-    const auto lost = fleet.leader();
-    ASSERT_TRUE(lost.has_value());
-    fleet.at(*lost).signal(SIGKILL);
+    const auto failed_leader = fleet.leader();
+    ASSERT_TRUE(failed_leader.has_value());
+    fleet.at(*failed_leader).signal(SIGKILL);
     pass_time(seconds{3});
-    fleet.start(*lost, false);
+    fleet.start(*failed_leader, false);
     expect_guarantee(repeatable);
     expect_guarantee(unrepeatable);
 
     // Every entry daemon fails and restarts, one after the other.
-    for (int which = fleet_processes::control_count; which < fleet.count(); ++which) {
-        fleet.at(which).signal(SIGKILL);
+    for (int n = fleet_processes::control_count; n < fleet.count(); ++n) {
+        fleet.at(n).signal(SIGKILL);
         pass_time(milliseconds{100});
-        fleet.start(which, false);
+        fleet.start(n, false);
         pass_time(milliseconds{150});
     }
     expect_guarantee(repeatable);
@@ -225,8 +225,8 @@
     }
     const auto popular = ask(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 20; ++round) {
-        for (std::size_t which = 0; which < runners.size(); which += 3) {
-            runners[(which + static_cast<std::size_t>(round)) % runners.size()]->crash();
+        for (std::size_t n = 0; n < runners.size(); n += 3) {
+            runners[(n + static_cast<std::size_t>(round)) % runners.size()]->crash();
         }
         pass_time(milliseconds{500});
     }
@@ -240,13 +240,13 @@
     // The runners crash for another reason while the popular request is in flight at each of them.
     const auto popular = ask(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 3; ++round) {
-        for (std::size_t which = 0; which < runners.size(); which += 2) {
-            runners[which]->crash();
+        for (std::size_t n = 0; n < runners.size(); n += 2) {
+            runners[n]->crash();
             pass_time(milliseconds{300});
         }
         // Several crash at once, as if their rack had failed.
-        for (std::size_t which = 1; which < 8; which += 2) {
-            runners[which]->crash();
+        for (std::size_t n = 1; n < 8; n += 2) {
+            runners[n]->crash();
         }
         pass_time(seconds{3});
     }
--- a/tests/quarantine/quarantine_api_test.cpp
+++ b/tests/quarantine/quarantine_api_test.cpp
@@ -24,9 +24,9 @@
 protected:
     a_quarantined_request()
     {
-        for (int made = 0; made < 5; ++made) {
+        for (int n = 0; n < 5; ++n) {
             runners.push_back(std::make_unique<platform_runner>(
-                fmt::format("s-{}", made), "shop", site.controls(), std::uint64_t{1000}));
+                fmt::format("s-{}", n), "shop", site.controls(), std::uint64_t{1000}));
             runners.back()->crash_trigger = "ends-runners";
             runners.back()->restart_delay = milliseconds{200};
         }
@@ -89,9 +89,9 @@
     EXPECT_EQ(call_leader("POST", lift).head.status, 404) << "no longer quarantined";
 
     // The quarantine stays lifted under the next leader.
-    const auto before = site.leader();
-    ASSERT_TRUE(before.has_value());
-    site.stop_control(*before);
+    const auto old_leader = site.leader();
+    ASSERT_TRUE(old_leader.has_value());
+    site.stop_control(*old_leader);
     ASSERT_TRUE(wait_until([&] { return site.leader().has_value(); }));
     EXPECT_EQ(ask("ends-runners"), 200);
     EXPECT_TRUE(listed().empty());
