--- a/tests/rate_limits/permit_division_test.cpp
+++ b/tests/rate_limits/permit_division_test.cpp
@@ -28,9 +28,9 @@
         : wanted_per_second_{wanted_per_second}, random_{seed}
     {
         leader_.clear(seed);
-        for (std::size_t made = 0; made < daemons; ++made) {
+        for (std::size_t n = 0; n < daemons; ++n) {
             auto& next = daemons_.emplace_back();
-            next.id = daemon_id{fmt::format("e-{}", made)};
+            next.id = daemon_id{fmt::format("e-{}", n)};
             next.permits = std::make_unique<send_permits>(
                 own_permit_options{.daemons = daemons, .seed = random_()});
             next.next_report = now_ + draw(report_interval);
@@ -63,14 +63,14 @@
     /// or after `from`.
     [[nodiscard]] std::size_t max_requests_in_window(instant from) const
     {
-        std::size_t worst = 0;
+        std::size_t highest = 0;
         for (auto end = arrivals_.begin(); end != arrivals_.end(); ++end) {
             if (*end >= from) {
                 const auto first = std::upper_bound(arrivals_.begin(), end, *end - window);
-                worst = std::max(worst, static_cast<std::size_t>(end - first) + 1);
+                highest = std::max(highest, static_cast<std::size_t>(end - first) + 1);
             }
         }
-        return worst;
+        return highest;
     }
     [[nodiscard]] double arrivals_per_second(instant from) const
     {
@@ -109,9 +109,9 @@
         return out;
     }
 
-    duration draw(duration most)
+    duration draw(duration limit)
     {
-        return duration{std::uniform_int_distribution<duration::rep>{0, most.count()}(random_)};
+        return duration{std::uniform_int_distribution<duration::rep>{0, limit.count()}(random_)};
     }
 
     [[nodiscard]] bool reaches_leader(const daemon& of) const
@@ -144,14 +144,16 @@
 
     void send_requests(daemon& from)
     {
-        const auto which = static_cast<std::size_t>(&from - daemons_.data());
-        if (which % daemons_per_busy_one != 0) {
+        const auto index = static_cast<std::size_t>(&from - daemons_.data());
+        if (index % daemons_per_busy_one != 0) {
             return;
         }
-        const auto busy =
+        const auto busy_daemons =
             static_cast<double>(daemons_.size()) / static_cast<double>(daemons_per_busy_one);
-        const auto mean = wanted_per_second_ / busy * std::chrono::duration<double>(step).count();
-        for (int left = std::poisson_distribution<int>{mean}(random_); left > 0; --left) {
+        const auto mean =
+            wanted_per_second_ / busy_daemons * std::chrono::duration<double>(step).count();
+        for (int remaining = std::poisson_distribution<int>{mean}(random_); remaining > 0;
+             --remaining) {
             if (from.permits->may_send(now_, runner_)) {
                 from.permits->on_sent(now_, runner_);
                 arrivals_.push_back(now_);
@@ -188,67 +190,72 @@
     /// Requests per second of all daemons: ten times the rate, and at least two for each daemon,
     /// as users have for a plain service. At least 20, so that random variation does not decide.
     double wanted = std::max({10 * rate, 2.0 * static_cast<double>(daemons), 20.0});
-    rate_limit_simulation world{daemons, wanted, std::get<2>(GetParam())};
+    rate_limit_simulation simulation{daemons, wanted, std::get<2>(GetParam())};
 };
 
 TEST_P(a_divided_rate, is_kept_in_every_window_and_used)
 {
-    world.announce_to_all(rate);
-    world.run(seconds{30});
-    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
-    EXPECT_GE(world.arrivals_per_second(start + seconds{2}), 0.8 * rate);
+    simulation.announce_to_all(rate);
+    simulation.run(seconds{30});
+    EXPECT_LE(static_cast<double>(simulation.max_requests_in_window(start + seconds{1})),
+              allowed(rate));
+    EXPECT_GE(simulation.arrivals_per_second(start + seconds{2}), 0.8 * rate);
 }
 
 TEST_P(a_divided_rate, is_kept_while_leaders_change_and_while_there_is_none)
 {
-    world.announce_to_all(rate);
-    world.run(seconds{5});
+    simulation.announce_to_all(rate);
+    simulation.run(seconds{5});
     for (int each = 0; each < 4; ++each) {
-        world.has_leader = false;
-        world.run(milliseconds{700});
-        world.change_leader();
-        world.has_leader = true;
-        world.run(seconds{3});
+        simulation.has_leader = false;
+        simulation.run(milliseconds{700});
+        simulation.change_leader();
+        simulation.has_leader = true;
+        simulation.run(seconds{3});
     }
-    world.has_leader = false;
-    world.run(seconds{20});
-    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
-    world.has_leader = true;
-    world.change_leader();
-    const auto back = world.now();
-    world.run(seconds{10});
-    EXPECT_LE(static_cast<double>(world.max_requests_in_window(back)), allowed(rate));
+    simulation.has_leader = false;
+    simulation.run(seconds{20});
+    EXPECT_LE(static_cast<double>(simulation.max_requests_in_window(start + seconds{1})),
+              allowed(rate));
+    simulation.has_leader = true;
+    simulation.change_leader();
+    const auto leader_back_at = simulation.now();
+    simulation.run(seconds{10});
+    EXPECT_LE(static_cast<double>(simulation.max_requests_in_window(leader_back_at)),
+              allowed(rate));
 }
 
 TEST_P(a_divided_rate, is_kept_while_a_part_of_the_daemons_is_cut_off_from_the_leader)
 {
-    world.announce_to_all(rate);
-    world.run(seconds{5});
-    world.cut_off = daemons / 3;
-    world.run(seconds{20});
-    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
+    simulation.announce_to_all(rate);
+    simulation.run(seconds{5});
+    simulation.cut_off = daemons / 3;
+    simulation.run(seconds{20});
+    EXPECT_LE(static_cast<double>(simulation.max_requests_in_window(start + seconds{1})),
+              allowed(rate));
 }
 
 TEST_P(a_divided_rate, goes_to_the_daemons_that_have_requests)
 {
-    world.daemons_per_busy_one = 4;
-    world.announce_to_all(rate);
-    world.run(seconds{30});
-    EXPECT_LE(static_cast<double>(world.max_requests_in_window(start + seconds{1})), allowed(rate));
-    EXPECT_GE(world.arrivals_per_second(start + seconds{2}), 0.8 * rate);
+    simulation.daemons_per_busy_one = 4;
+    simulation.announce_to_all(rate);
+    simulation.run(seconds{30});
+    EXPECT_LE(static_cast<double>(simulation.max_requests_in_window(start + seconds{1})),
+              allowed(rate));
+    EXPECT_GE(simulation.arrivals_per_second(start + seconds{2}), 0.8 * rate);
 }
 
 TEST_P(a_divided_rate, grows_after_its_end_and_is_unbounded_within_seconds)
 {
-    world.announce_to_all(rate);
-    world.run(seconds{10});
-    world.named_rate = 0;
-    const auto ended = world.now();
-    world.run(seconds{1});
-    EXPECT_LE(world.arrivals_per_second(ended), 8 * std::max(rate, 1.0) + 4)
+    simulation.announce_to_all(rate);
+    simulation.run(seconds{10});
+    simulation.named_rate = 0;
+    const auto ended_at = simulation.now();
+    simulation.run(seconds{1});
+    EXPECT_LE(simulation.arrivals_per_second(ended_at), 8 * std::max(rate, 1.0) + 4)
         << "the daemons do not all send at once";
-    world.run(seconds{7});
-    EXPECT_EQ(world.held_back_since(world.now() - seconds{2}), 0);
+    simulation.run(seconds{7});
+    EXPECT_EQ(simulation.held_back_since(simulation.now() - seconds{2}), 0);
 }
 
 /// Number of seeds for each case. To run more of them:
