--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -63,11 +63,11 @@
     void start(const std::string& service)
     {
         fleet.start_all();
-        for (int made = 0; made < runner_count; ++made) {
+        for (int n = 0; n < runner_count; ++n) {
             runners.push_back(std::make_unique<platform_runner>(
-                fmt::format("s-{}", made), service, fleet.controls(), std::uint64_t{1000}));
+                fmt::format("s-{}", n), service, fleet.controls(), std::uint64_t{1000}));
             // Some answers arrive after a later request of the same daemon was answered with a 503.
-            runners.back()->answer_time = milliseconds{20 + 60 * made};
+            runners.back()->answer_time = milliseconds{20 + 60 * n};
             runners.back()->slots = 100;
         }
         ASSERT_TRUE(fleet.put(document(1, service)));
@@ -129,24 +129,24 @@
         return out;
     }
 
-    /// Requests that a runner received after it began to leave at `left`.
-    /// `late`: from a daemon more than `drain_time` after the first request since `left` from that
-    /// daemon, which the runner answered with the signal. `after`: from any daemon, at or after
-    /// `from`.
+    /// Requests that a runner received after it began to leave at `left_at`.
+    /// `late`: from a daemon more than `drain_time` after the first request since `left_at` from
+    /// that daemon, which the runner answered with the signal. `after`: from any daemon, at or
+    /// after `from`.
     struct leave_count {
         int late = 0;
         int after = 0;
     };
-    [[nodiscard]] leave_count count_after_leave(std::size_t runner, instant left,
+    [[nodiscard]] leave_count count_after_leave(std::size_t runner, instant left_at,
                                                 instant from) const
     {
         leave_count out;
-        std::map<int, instant> told;
+        std::map<int, instant> informed_at;
         for (const auto& each : pauses[runner]->arrivals) {
-            if (each.at < left) {
+            if (each.at < left_at) {
                 continue;
             }
-            const auto first = told.emplace(each.sender, each.at).first->second;
+            const auto first = informed_at.emplace(each.sender, each.at).first->second;
             out.late += each.at - first > drain_time ? 1 : 0;
             out.after += each.at >= from ? 1 : 0;
         }
@@ -178,7 +178,7 @@
 TEST_P(a_fleet_whose_runners_speak, sends_nothing_within_a_pause_whatever_else_happens)
 {
     start("shop");
-    const auto began = steady_now();
+    const auto started_at = steady_now();
     pass_time_with_pauses(seconds{4});
 
     // Configurations change.
@@ -193,16 +193,16 @@
     pass_time_with_pauses(milliseconds{1500});
 
     // The leader fails and restarts.
-    const auto lost = fleet.leader();
-    ASSERT_TRUE(lost.has_value());
-    fleet.at(*lost).signal(SIGKILL);
+    const auto failed_leader = fleet.leader();
+    ASSERT_TRUE(failed_leader.has_value());
+    fleet.at(*failed_leader).signal(SIGKILL);
     pass_time_with_pauses(seconds{3});
-    fleet.start(*lost, false);
+    fleet.start(*failed_leader, false);
     pass_time_with_pauses(seconds{2});
 
     EXPECT_EQ(count_requests_in_pauses(), 0);
     EXPECT_GT(count_pauses(), GetParam().entry_daemons) << "enough pauses were asked for";
-    EXPECT_GT(callers->served_share(began, steady_now()), 0.99)
+    EXPECT_GT(callers->served_share(started_at, steady_now()), 0.99)
         << "the other runners serve meanwhile";
 }
 
@@ -225,8 +225,8 @@
         }
         ++refused;
         EXPECT_LT(each.took, at_once);
-        const auto passed = std::chrono::duration<double>(steady_now() - each.ended).count();
-        EXPECT_GT(each.retry_after, passed) << "all runners are paused until then";
+        const auto since_answer = std::chrono::duration<double>(steady_now() - each.ended).count();
+        EXPECT_GT(each.retry_after, since_answer) << "all runners are paused until then";
         EXPECT_LT(each.retry_after, 6);
     }
     EXPECT_GT(refused, GetParam().entry_daemons);
@@ -257,49 +257,49 @@
 TEST_P(a_fleet_whose_runners_speak, spares_one_that_says_that_it_leaves)
 {
     start("shop");
-    const auto left = steady_now();
+    const auto left_at = steady_now();
     runners[0]->leaving = true; // its heartbeats still say that it is ready
     pass_time(seconds{3});
-    const auto with_leader = count_after_leave(0, left, left + seconds{1});
+    const auto with_leader = count_after_leave(0, left_at, left_at + seconds{1});
     EXPECT_EQ(with_leader.late, 0);
     EXPECT_EQ(with_leader.after, 0) << "the other daemons learned of the leave from the leader";
 
     // Without a leader each daemon relies on the answers that it receives itself, including a 503.
-    for (int which = 0; which < fleet_processes::control_count; ++which) {
-        fleet.at(which).signal(SIGKILL);
+    for (int n = 0; n < fleet_processes::control_count; ++n) {
+        fleet.at(n).signal(SIGKILL);
     }
-    const auto left_alone = steady_now();
+    const auto left_without_leader_at = steady_now();
     runners[1]->leaving = true;
     for (int sender = 0; sender < GetParam().entry_daemons; sender += 2) {
         pauses[1]->ask(sender, milliseconds{1});
     }
     pass_time(seconds{5});
-    EXPECT_EQ(count_after_leave(1, left_alone, left_alone).late, 0);
-    EXPECT_EQ(count_after_leave(0, left, left + seconds{1}).late, 0);
-    EXPECT_GT(callers->served_share(left, steady_now()), 0.99)
+    EXPECT_EQ(count_after_leave(1, left_without_leader_at, left_without_leader_at).late, 0);
+    EXPECT_EQ(count_after_leave(0, left_at, left_at + seconds{1}).late, 0);
+    EXPECT_GT(callers->served_share(left_at, steady_now()), 0.99)
         << "the other runners serve meanwhile";
 
     // The next leader learns of the leave from the daemons.
-    for (int which = 0; which < fleet_processes::control_count; ++which) {
-        fleet.start(which, false);
+    for (int n = 0; n < fleet_processes::control_count; ++n) {
+        fleet.start(n, false);
     }
-    const auto back = steady_now();
+    const auto leader_back_at = steady_now();
     pass_time(seconds{6});
-    for (const std::size_t which : {0U, 1U}) {
-        EXPECT_EQ(count_after_leave(which, left, back).after, 0) << which;
+    for (const std::size_t n : {0U, 1U}) {
+        EXPECT_EQ(count_after_leave(n, left_at, leader_back_at).after, 0) << n;
     }
 }
 
 TEST_P(a_fleet_whose_runners_speak, hears_a_leave_in_the_head_of_a_stream)
 {
     start("pool");
-    const auto left = steady_now();
+    const auto left_at = steady_now();
     runners[0]->leaving = true;
     pass_time(seconds{4});
-    const auto seen = count_after_leave(0, left, left + seconds{1});
+    const auto seen = count_after_leave(0, left_at, left_at + seconds{1});
     EXPECT_EQ(seen.late, 0);
     EXPECT_EQ(seen.after, 0);
-    EXPECT_GT(callers->served_share(left, steady_now()), 0.99);
+    EXPECT_GT(callers->served_share(left_at, steady_now()), 0.99);
 }
 
 INSTANTIATE_TEST_SUITE_P(sizes, a_fleet_whose_runners_speak,
--- a/tests/runner_signals/random_holds_test.cpp
+++ b/tests/runner_signals/random_holds_test.cpp
@@ -18,7 +18,7 @@
 
 class random_holds {
 public:
-    explicit random_holds(std::uint64_t seed) : random_{seed} { show(); }
+    explicit random_holds(std::uint64_t seed) : random_{seed} { update_view(); }
 
     void step()
     {
@@ -34,8 +34,8 @@
             begin_incarnation(any_runner());
             break;
         case 4:
-            is_shown_ = show_at_ != instant::max() || draw(3) > 0;
-            show();
+            is_in_view_ = next_view_at_ != instant::max() || draw(3) > 0;
+            update_view();
             break;
         case 5:
             signal_leave(any_runner());
@@ -62,43 +62,43 @@
     runner_facts& any_runner() { return runners_.at(static_cast<std::size_t>(draw(2))); }
 
     /// The runner answers, so it has not ended.
-    void note_answer(runner_facts& of) const
+    void note_answer(runner_facts& runner) const
     {
-        if (of.absent_since) {
-            of.absent_since = now_;
+        if (runner.absent_since) {
+            runner.absent_since = now_;
         }
     }
 
-    void ask_for_pause(runner_facts& of)
+    void ask_for_pause(runner_facts& runner)
     {
-        note_answer(of);
+        note_answer(runner);
         const milliseconds time{1 + draw(4000)};
-        holds_.on_pause(now_, of.id, of.viewed, time);
-        of.paused_until = std::max(of.paused_until, now_ + time);
-        of.latest_pause_end = std::max(of.latest_pause_end, now_ + time);
+        holds_.on_pause(now_, runner.id, runner.viewed, time);
+        runner.paused_until = std::max(runner.paused_until, now_ + time);
+        runner.latest_pause_end = std::max(runner.latest_pause_end, now_ + time);
     }
 
-    void signal_leave(runner_facts& of)
+    void signal_leave(runner_facts& runner)
     {
-        note_answer(of);
-        holds_.on_leaving(now_, of.id, of.viewed);
-        of.is_leaving = of.is_leaving || of.viewed == of.its_incarnation;
+        note_answer(runner);
+        holds_.on_leaving(now_, runner.id, runner.viewed);
+        runner.is_leaving = runner.is_leaving || runner.viewed == runner.its_incarnation;
     }
 
     /// Starts a new incarnation, which the view contains within a second.
-    void begin_incarnation(runner_facts& of)
+    void begin_incarnation(runner_facts& runner)
     {
-        ++of.its_incarnation.value;
-        of.paused_until = {};
-        of.is_leaving = false;
-        show_at_ = std::min(show_at_, now_ + milliseconds{draw(900)});
+        ++runner.its_incarnation.value;
+        runner.paused_until = {};
+        runner.is_leaving = false;
+        next_view_at_ = std::min(next_view_at_, now_ + milliseconds{draw(900)});
     }
 
-    void show()
+    void update_view()
     {
         std::map<runner_id, incarnation> incarnations;
         for (auto& each : runners_) {
-            if (is_shown_ || each.id.str() != "i-0") {
+            if (is_in_view_ || each.id.str() != "i-0") {
                 each.viewed = each.its_incarnation;
                 incarnations[each.id] = each.viewed;
                 each.absent_since.reset();
@@ -107,16 +107,16 @@
             each.absent_since = each.absent_since.value_or(now_);
         }
         holds_.on_incarnations(now_, incarnations);
-        show_at_ = instant::max();
+        next_view_at_ = instant::max();
     }
 
     void pass_time(duration time)
     {
         const auto until = now_ + time;
-        if (show_at_ <= until) {
-            now_ = std::max(now_, show_at_);
-            is_shown_ = true; // a runner that starts is always added to the view
-            show();
+        if (next_view_at_ <= until) {
+            now_ = std::max(now_, next_view_at_);
+            is_in_view_ = true; // a runner that starts is always added to the view
+            update_view();
         }
         now_ = until;
     }
@@ -130,7 +130,7 @@
             if (now_ < each.paused_until) {
                 EXPECT_NE(found, send_hold::none) << each.id.str();
             }
-            if (each.is_leaving && is_shown_) {
+            if (each.is_leaving && is_in_view_) {
                 EXPECT_EQ(found, send_hold::leaving) << each.id.str();
             }
             if (now_ >= each.latest_pause_end) {
@@ -141,8 +141,8 @@
 
     std::mt19937_64 random_;
     instant now_{seconds{100}};
-    instant show_at_ = instant::max();
-    bool is_shown_ = true; ///< whether the view contains the first runner
+    instant next_view_at_ = instant::max();
+    bool is_in_view_ = true; ///< whether the view contains the first runner
     std::vector<runner_facts> runners_{{runner_id{"i-0"}}, {runner_id{"i-1"}}};
     send_holds holds_;
 };
@@ -151,9 +151,9 @@
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE(seed);
-        random_holds world{seed};
+        random_holds simulation{seed};
         for (int step = 0; step < steps; ++step) {
-            world.step();
+            simulation.step();
             ASSERT_FALSE(testing::Test::HasFailure()) << "step " << step;
         }
     }
--- a/tests/runner_signals/send_holds_test.cpp
+++ b/tests/runner_signals/send_holds_test.cpp
@@ -10,7 +10,7 @@
 constexpr incarnation first{1000};
 constexpr incarnation second{2000};
 
-std::map<runner_id, incarnation> seen(incarnation its_incarnation)
+std::map<runner_id, incarnation> view_with(incarnation its_incarnation)
 {
     return {{runner, its_incarnation}, {runner_id{"i-2"}, incarnation{1}}};
 }
@@ -29,7 +29,7 @@
 
     // The runner disappears from the view and returns in the same incarnation.
     holds.on_incarnations(start + seconds{1}, {});
-    holds.on_incarnations(start + seconds{2}, seen(first));
+    holds.on_incarnations(start + seconds{2}, view_with(first));
     EXPECT_EQ(holds.find(start + milliseconds{2999}, runner), send_hold::paused);
     EXPECT_EQ(holds.count_paused(start + seconds{2}), 1U);
 
@@ -50,7 +50,7 @@
 {
     send_holds holds;
     holds.on_pause(start, runner, first, seconds{60});
-    holds.on_incarnations(start + seconds{5}, seen(second));
+    holds.on_incarnations(start + seconds{5}, view_with(second));
     EXPECT_EQ(holds.find(start + seconds{5}, runner), send_hold::none);
 }
 
@@ -58,7 +58,7 @@
 {
     send_holds holds;
     holds.on_pause(start, runner, first, seconds{3});
-    holds.on_incarnations(start + milliseconds{300}, seen(second));
+    holds.on_incarnations(start + milliseconds{300}, view_with(second));
     EXPECT_EQ(holds.find(start + seconds{2}, runner), send_hold::paused);
 }
 
@@ -67,14 +67,14 @@
     send_holds holds;
     EXPECT_TRUE(holds.on_leaving(start, runner, first));
     EXPECT_FALSE(holds.on_leaving(start, runner, first));
-    holds.on_incarnations(start + seconds{1}, seen(first));
+    holds.on_incarnations(start + seconds{1}, view_with(first));
     holds.on_incarnations(start + seconds{300}, {});
-    holds.on_incarnations(start + seconds{310}, seen(first));
+    holds.on_incarnations(start + seconds{310}, view_with(first));
     EXPECT_EQ(holds.find(start + seconds{320}, runner), send_hold::leaving);
     EXPECT_EQ(holds.leaving().at(runner), first);
     EXPECT_EQ(holds.count_leaving(), 1U);
 
-    holds.on_incarnations(start + seconds{400}, seen(second));
+    holds.on_incarnations(start + seconds{400}, view_with(second));
     EXPECT_EQ(holds.find(start + seconds{400}, runner), send_hold::none);
     EXPECT_FALSE(holds.on_leaving(start + seconds{401}, runner, first))
         << "a late answer from the earlier incarnation";
