--- a/tests/fleet/failure_detector_test.cpp
+++ b/tests/fleet/failure_detector_test.cpp
@@ -38,7 +38,7 @@
     {
         return detector.has_failed(now, group, member, seen);
     }
-    [[nodiscard]] static runner_health moving()
+    [[nodiscard]] static runner_health progressing()
     {
         runner_health out;
         out.since_byte = milliseconds{10};
@@ -99,15 +99,16 @@
     EXPECT_FALSE(fails(start, stalled())) << "another member may have caused the stall";
     detector.on_probe_failed(member, false);
     EXPECT_TRUE(fails(start, stalled()));
-    EXPECT_FALSE(fails(start, moving()));
+    EXPECT_FALSE(fails(start, progressing()));
 }
 
 TEST_F(a_group_under_watch, gives_up_a_silent_unresponsive_member_unless_streams_move)
 {
     detector.on_probe_failed(member, true);
     const auto silent = start + milliseconds{1801};
-    EXPECT_FALSE(fails(silent, moving())) << "streams that move prove that all members are present";
-    auto idle = moving();
+    EXPECT_FALSE(fails(silent, progressing()))
+        << "streams with recent bytes prove that all members are present";
+    auto idle = progressing();
     idle.since_byte = seconds{2};
     EXPECT_FALSE(fails(silent, idle));
     idle.since_byte += duration{1};
--- a/tests/fleet/fleet_daemons_test.cpp
+++ b/tests/fleet/fleet_daemons_test.cpp
@@ -136,8 +136,9 @@
 TEST_F(a_fleet, refuses_strangers_and_unknown_paths_and_forgets_removed_keys)
 {
     ASSERT_TRUE(serves());
-    const std::string stranger = "X-Cedarpoint-Request-Id: r1\r\nAuthorization: Bearer nobody\r\n";
-    EXPECT_EQ(call(site.callers(), "GET", "/safe/x", stranger, "").head.status, 401);
+    const std::string unknown_caller =
+        "X-Cedarpoint-Request-Id: r1\r\nAuthorization: Bearer nobody\r\n";
+    EXPECT_EQ(call(site.callers(), "GET", "/safe/x", unknown_caller, "").head.status, 401);
     EXPECT_EQ(call(site.callers(), "GET", "/nowhere/x", headers, "").head.status, 404);
     ASSERT_EQ(site.put(document(2, "k2")), 200);
     const auto acknowledged = steady_now();
@@ -181,22 +182,22 @@
 TEST_F(a_fleet, forms_its_group_anew_when_a_member_or_the_head_starts_again_under_its_id)
 {
     ASSERT_TRUE(serves());
-    std::uint64_t born = 1'000;
+    std::uint64_t start_ms = 1'000;
     for (const bool with_leader_lost : {false, true}) {
-        for (std::size_t which = 0; which < pool.size(); ++which) {
-            const auto id = pool[which]->id();
-            pool[which].reset();
+        for (std::size_t n = 0; n < pool.size(); ++n) {
+            const auto id = pool[n]->id();
+            pool[n].reset();
             const auto leader = site.leader();
             if (with_leader_lost && leader) {
                 site.stop_control(*leader);
             }
-            pool[which] = std::make_unique<platform_runner>(id, "pool", site.controls(), ++born);
-            const auto is_whole = [&] {
+            pool[n] = std::make_unique<platform_runner>(id, "pool", site.controls(), ++start_ms);
+            const auto group_serves = [&] {
                 return std::count_if(pool.begin(), pool.end(),
                                      [](const auto& each) { return each->is_open(); }) == 1 &&
                        call(site.callers(), "POST", "/ask/x", headers, "why").head.status == 200;
             };
-            EXPECT_TRUE(wait_until(is_whole)) << id << ", incarnation " << born;
+            EXPECT_TRUE(wait_until(group_serves)) << id << ", incarnation " << start_ms;
             if (with_leader_lost && leader) {
                 site.start_control(*leader, false);
             }
@@ -222,11 +223,11 @@
     ASSERT_TRUE(serves());
     const std::string other = "X-Cedarpoint-Request-Id: r1\r\nX-Cedarpoint-Model: unknown\r\n"
                               "Authorization: Bearer k1\r\n";
-    const auto asked = steady_now();
+    const auto sent_at = steady_now();
     const auto answer = call(site.callers(), "POST", "/ask/x", other, "why");
     EXPECT_EQ(answer.head.status, 503);
     EXPECT_TRUE(answer.head.fields.has("Retry-After"));
-    EXPECT_LT(steady_now() - asked, milliseconds{300});
+    EXPECT_LT(steady_now() - sent_at, milliseconds{300});
 }
 
 // Guards against passing a runner's `Retry-After`, which is meant for one daemon, on to the caller.
--- a/tests/fleet/fleet_leader_test.cpp
+++ b/tests/fleet/fleet_leader_test.cpp
@@ -47,7 +47,7 @@
         leader.begin_term(start, 1);
         leader.refresh_view(start);
     }
-    wire::fleet_update ask(duration after, std::uint64_t version, bool behind = false)
+    wire::fleet_update receive_report(duration after, std::uint64_t version, bool behind = false)
     {
         wire::fleet_follow report;
         report.set_term(version == 0 ? 0 : 1);
@@ -61,22 +61,23 @@
 
 TEST_F(a_leader_with_a_large_configuration, sends_it_once_while_it_is_under_way)
 {
-    ASSERT_EQ(ask(milliseconds{0}, 0).items_size(), 1);
-    EXPECT_EQ(ask(milliseconds{200}, 0).items_size(), 0);
-    EXPECT_EQ(ask(milliseconds{400}, 0).items_size(), 0);
-    EXPECT_EQ(ask(milliseconds{1100}, 0).items_size(), 1) << "after 1 s the update counts as lost";
+    ASSERT_EQ(receive_report(milliseconds{0}, 0).items_size(), 1);
+    EXPECT_EQ(receive_report(milliseconds{200}, 0).items_size(), 0);
+    EXPECT_EQ(receive_report(milliseconds{400}, 0).items_size(), 0);
+    EXPECT_EQ(receive_report(milliseconds{1100}, 0).items_size(), 1)
+        << "after 1 s the update counts as lost";
 }
 
 TEST_F(a_leader_with_a_large_configuration, sends_it_again_to_one_that_misses_it)
 {
-    ASSERT_EQ(ask(milliseconds{0}, 0, true).items_size(), 1);
-    EXPECT_EQ(ask(milliseconds{100}, 0, true).items_size(), 0);
-    EXPECT_EQ(ask(milliseconds{500}, 0, true).items_size(), 1);
+    ASSERT_EQ(receive_report(milliseconds{0}, 0, true).items_size(), 1);
+    EXPECT_EQ(receive_report(milliseconds{100}, 0, true).items_size(), 0);
+    EXPECT_EQ(receive_report(milliseconds{500}, 0, true).items_size(), 1);
 }
 
 TEST_F(a_leader_with_a_large_configuration, tells_changes_behind_what_is_under_way)
 {
-    const auto first = ask(milliseconds{0}, 0);
+    const auto first = receive_report(milliseconds{0}, 0);
     state.apply(fleet_state::put_configuration(2, document(2, 901)));
     leader.refresh_view(start + milliseconds{50});
     const auto pushed = leader.pending_updates(start + milliseconds{50});
@@ -92,9 +93,10 @@
        brings_one_up_to_date_that_lost_updates_while_changes_go_on)
 {
     view_copy copy;
-    ASSERT_EQ(copy.take(ask(milliseconds{0}, 0)), view_copy::outcome::applied);
-    const auto lost = copy.version();
-    ASSERT_EQ(ask(milliseconds{200}, lost).items_size(), 0) << "it is up to date";
+    ASSERT_EQ(copy.take(receive_report(milliseconds{0}, 0)), view_copy::outcome::applied);
+    const auto held_version = copy.version();
+    ASSERT_EQ(receive_report(milliseconds{200}, held_version).items_size(), 0)
+        << "it is up to date";
     bool up_to_date = false;
     for (int round = 1; round <= 30 && !up_to_date; ++round) {
         // A change every 50 ms. The first pushed update is lost, so each later one shows a gap.
@@ -107,7 +109,7 @@
             ASSERT_EQ(copy.take(pushed.front().second), view_copy::outcome::gap);
         }
         if (round % 4 == 0) {
-            const auto answer = ask(now - start, copy.version(), true);
+            const auto answer = receive_report(now - start, copy.version(), true);
             up_to_date = copy.take(answer) == view_copy::outcome::applied;
         }
     }
@@ -116,8 +118,8 @@
 
 TEST_F(a_leader_with_a_large_configuration, counts_followers_only_once_it_has_heard_them)
 {
-    EXPECT_EQ(ask(milliseconds{0}, 0).followers(), 0U);
-    EXPECT_EQ(ask(seconds{3}, 1).followers(), 1U);
+    EXPECT_EQ(receive_report(milliseconds{0}, 0).followers(), 0U);
+    EXPECT_EQ(receive_report(seconds{3}, 1).followers(), 1U);
 }
 
 /// A follower whose reports are dropped instead of sent.
@@ -174,12 +176,12 @@
 TEST_F(a_follower_without_a_leader, takes_any_leaders_view_instead_and_none_from_a_log_after_it)
 {
     receive_update(provisional(5, 40));
-    wire::fleet_update led;
-    led.set_term(2);
-    led.set_leading(true);
-    led.set_reset(true);
-    led.set_to(1);
-    receive_update(led);
+    wire::fleet_update from_leader;
+    from_leader.set_term(2);
+    from_leader.set_leading(true);
+    from_leader.set_reset(true);
+    from_leader.set_to(1);
+    receive_update(from_leader);
     EXPECT_TRUE(follower.view().items().empty());
     EXPECT_EQ(follower.view().configuration()->revision(), 5U)
         << "an older revision is never restored";
@@ -216,18 +218,18 @@
 TEST_F(a_leader_with_a_large_configuration, drains_a_runner_that_has_told_a_daemon_that_it_leaves)
 {
     const runner_id runner{"i-1"};
-    auto alive = heartbeat_of("i-1", "shop", 1);
-    alive.born = incarnation{1000};
-    ASSERT_TRUE(leader.announce(start, alive));
+    auto heartbeat = heartbeat_of("i-1", "shop", 1);
+    heartbeat.born = incarnation{1000};
+    ASSERT_TRUE(leader.announce(start, heartbeat));
     const auto apply_all = [&] {
         for (const auto& step : leader.tick(start)) {
             state.apply(step.command);
         }
     };
-    const auto report_leaving = [&](std::uint64_t born) {
+    const auto report_leaving = [&](std::uint64_t start_ms) {
         wire::fleet_follow report;
         report.add_leaving()->set_runner("i-1");
-        report.mutable_leaving(0)->set_born(born);
+        report.mutable_leaving(0)->set_born(start_ms);
         (void)leader.on_follow(start, daemon_id{"entry"}, report);
         apply_all();
     };
@@ -236,16 +238,16 @@
     EXPECT_FALSE(state.is_leaving(runner)) << "the announcement is from an earlier incarnation";
     report_leaving(1000);
     EXPECT_TRUE(state.is_leaving(runner));
-    alive.sequence = 2;
-    leader.announce(start + milliseconds{10}, alive);
+    heartbeat.sequence = 2;
+    leader.announce(start + milliseconds{10}, heartbeat);
     leader.begin_term(start + milliseconds{20}, 2);
     EXPECT_TRUE(state.is_leaving(runner))
         << "regardless of its heartbeats and of the change of leader";
 
     // The runner restarts under its id.
-    alive.born = incarnation{2000};
-    alive.sequence = 1;
-    leader.announce(start + milliseconds{30}, alive);
+    heartbeat.born = incarnation{2000};
+    heartbeat.sequence = 1;
+    leader.announce(start + milliseconds{30}, heartbeat);
     apply_all();
     EXPECT_FALSE(state.is_leaving(runner));
 }
--- a/tests/fleet/fleet_site.cpp
+++ b/tests/fleet/fleet_site.cpp
@@ -31,9 +31,9 @@
     constexpr int first = 12'000;
     constexpr int count = 20'000;
     /// Distance between the first ports of processes with successive ids.
-    constexpr int apart = 101;
-    static int next = static_cast<int>(QCoreApplication::applicationPid() * apart % count);
-    for (int tries = 0; tries < count; ++tries) {
+    constexpr int port_distance = 101;
+    static int next = static_cast<int>(QCoreApplication::applicationPid() * port_distance % count);
+    for (int attempt = 0; attempt < count; ++attempt) {
         next = (next + 1) % count;
         if (const auto port = static_cast<std::uint16_t>(first + next); is_free(port)) {
             return port;
@@ -73,22 +73,22 @@
     for (const auto* ip : {"127.0.0.11", "127.0.0.12", "127.0.0.13"}) {
         controls_.push_back({ip, control_port});
     }
-    for (const auto& at : controls_) {
-        fleet_settings own;
-        own.role = fleet_role::control;
-        own.name = at.ip;
-        own.failure_domain = failure_domain_id{"z"};
-        own.address = {at.ip, mesh_port};
-        own.control = at;
-        own.metrics = endpoint{at.ip, free_port()};
-        own.data_folder = folder_.path().toStdString() + "/" + at.ip;
-        own.seeds = controls_;
-        own.heartbeat = runner_heartbeat;
-        settings_.push_back(own);
+    for (const auto& address : controls_) {
+        fleet_settings daemon_settings;
+        daemon_settings.role = fleet_role::control;
+        daemon_settings.name = address.ip;
+        daemon_settings.failure_domain = failure_domain_id{"z"};
+        daemon_settings.address = {address.ip, mesh_port};
+        daemon_settings.control = address;
+        daemon_settings.metrics = endpoint{address.ip, free_port()};
+        daemon_settings.data_folder = folder_.path().toStdString() + "/" + address.ip;
+        daemon_settings.seeds = controls_;
+        daemon_settings.heartbeat = runner_heartbeat;
+        settings_.push_back(daemon_settings);
     }
     daemons_.resize(controls_.size());
-    for (std::size_t which = 0; which < controls_.size(); ++which) {
-        start_control(which, true);
+    for (std::size_t n = 0; n < controls_.size(); ++n) {
+        start_control(n, true);
     }
     entry_settings_.role = fleet_role::entry;
     entry_settings_.name = "entry";
@@ -104,21 +104,21 @@
 
 fleet_site::~fleet_site() = default;
 
-void fleet_site::start_control(std::size_t which, bool first)
+void fleet_site::start_control(std::size_t n, bool first_start)
 {
-    auto own = settings_[which];
-    own.first_start = first;
+    auto daemon_settings = settings_[n];
+    daemon_settings.first_start = first_start;
     reason why;
-    daemons_[which] = control_daemon::start(own, why);
-    EXPECT_NE(daemons_[which], nullptr) << why.str();
-    if (daemons_[which] != nullptr) {
-        daemons_[which]->on_stopped = [](int) {};
+    daemons_[n] = control_daemon::start(daemon_settings, why);
+    EXPECT_NE(daemons_[n], nullptr) << why.str();
+    if (daemons_[n] != nullptr) {
+        daemons_[n]->on_stopped = [](int) {};
     }
 }
 
-void fleet_site::stop_control(std::size_t which)
+void fleet_site::stop_control(std::size_t n)
 {
-    daemons_[which].reset();
+    daemons_[n].reset();
 }
 
 http_answer fleet_site::call_leader(const std::string& method, const std::string& target,
@@ -126,10 +126,10 @@
 {
     http_answer out;
     wait_until([&] {
-        for (const auto& at : controls_) {
-            out = call(at, method, target, "", body);
-            const bool elsewhere = out.head.status == 307 || out.head.status == 503;
-            if (out.end == exchange_end::complete && !elsewhere) {
+        for (const auto& address : controls_) {
+            out = call(address, method, target, "", body);
+            const bool not_leading = out.head.status == 307 || out.head.status == 503;
+            if (out.end == exchange_end::complete && !not_leading) {
                 return true;
             }
         }
@@ -150,10 +150,10 @@
 
 std::optional<std::size_t> fleet_site::leader()
 {
-    for (std::size_t which = 0; which < controls_.size(); ++which) {
-        const auto answer = call(controls_[which], "GET", "/cedarpoint/config/get", "", "");
+    for (std::size_t n = 0; n < controls_.size(); ++n) {
+        const auto answer = call(controls_[n], "GET", "/cedarpoint/config/get", "", "");
         if (answer.head.status == 200) {
-            return which;
+            return n;
         }
     }
     return {};
@@ -162,8 +162,8 @@
 std::string fleet_site::control_metrics()
 {
     std::string out;
-    for (const auto& own : settings_) {
-        out += call(*own.metrics, "GET", "/metrics", "", "").body;
+    for (const auto& daemon_settings : settings_) {
+        out += call(*daemon_settings.metrics, "GET", "/metrics", "", "").body;
     }
     return out;
 }
--- a/tests/fleet/fleet_site.h
+++ b/tests/fleet/fleet_site.h
@@ -41,8 +41,8 @@
     /// Returns the configuration from the leader; empty while there is none.
     std::string get();
     [[nodiscard]] std::optional<std::size_t> leader();
-    void stop_control(std::size_t which);
-    void start_control(std::size_t which, bool first);
+    void stop_control(std::size_t n);
+    void start_control(std::size_t n, bool first_start);
     [[nodiscard]] bool is_ready();
     /// Returns the concatenated metrics of all control daemons.
     [[nodiscard]] std::string control_metrics();
--- a/tests/fleet/fleet_state_test.cpp
+++ b/tests/fleet/fleet_state_test.cpp
@@ -179,11 +179,11 @@
     newer.set_revision(8);
     source.set_configuration(newer);
     ASSERT_EQ(follow(1), view_copy::outcome::applied);
-    view_source behind;
+    view_source older_source;
     wire::accepted_configuration older;
     older.set_revision(6);
-    behind.set_configuration(older);
-    auto update = behind.since(0);
+    older_source.set_configuration(older);
+    auto update = older_source.since(0);
     update.set_term(2);
     ASSERT_EQ(copy.take(update), view_copy::outcome::applied);
     ASSERT_NE(copy.configuration(), nullptr);
@@ -193,18 +193,18 @@
 TEST(a_departure, is_of_one_incarnation_of_a_runner)
 {
     const runner_id runner{"i-1"};
-    const auto incarnation_from = [&](std::uint64_t born) {
+    const auto register_incarnation = [&](std::uint64_t start_ms) {
         registered_runner out;
         out.runner = runner;
         out.address = endpoint{"10.0.0.1", 80};
-        out.born = {born};
+        out.born = {start_ms};
         return fleet_state::add_runner(out);
     };
     fleet_state state;
-    state.apply(incarnation_from(1000));
+    state.apply(register_incarnation(1000));
     state.apply(fleet_state::depart(runner, true, {1000}));
     EXPECT_TRUE(state.is_gone(runner));
-    state.apply(incarnation_from(1001));
+    state.apply(register_incarnation(1001));
     fleet_state copy;
     ASSERT_TRUE(copy.restore(state.save()));
     for (const auto* each : {&state, &copy}) {
@@ -223,11 +223,11 @@
     const runner_id runner{"i-1"};
     fleet_state state;
     state.apply(fleet_state::depart(runner, true));
-    registered_runner reborn;
-    reborn.runner = runner;
-    reborn.address = endpoint{"10.0.0.1", 80};
-    reborn.born = {1000};
-    state.apply(fleet_state::add_runner(reborn));
+    registered_runner restarted;
+    restarted.runner = runner;
+    restarted.address = endpoint{"10.0.0.1", 80};
+    restarted.born = {1000};
+    state.apply(fleet_state::add_runner(restarted));
     EXPECT_TRUE(state.is_gone(runner)) << "as in logs of earlier versions";
 }
 
--- a/tests/fleet/group_conversion_test.cpp
+++ b/tests/fleet/group_conversion_test.cpp
@@ -26,32 +26,32 @@
             add_group(domain, large, 4);
             add_group(domain, small, 3);
             add_group(domain, small, 3);
-            world.add(domain, 1, {large, small});
+            maker.add(domain, 1, {large, small});
             ++next_;
         }
     }
     void add_group(const std::string& domain, const model_id& model, std::size_t size)
     {
-        world.add(domain, static_cast<int>(size), {model == large ? small : large});
+        maker.add(domain, static_cast<int>(size), {model == large ? small : large});
         std::vector<std::size_t> members;
         planned_group group;
         for (std::size_t n = 0; n < size; ++n) {
             members.push_back(next_);
-            group.members.push_back(world.runner(next_).id);
+            group.members.push_back(maker.runner(next_).id);
             ++next_;
         }
         group.name = group_id{fmt::format("g{}", plan.groups().size())};
         group.model = model;
         group.phase = plan_phase::serving;
         plan.add(std::move(group));
-        world.set_serving(members, model);
+        maker.set_serving(members, model);
     }
     std::optional<conversion_proposal> begin(instant now)
     {
-        return conversions.begin_next(now, world.snapshot(), plan);
+        return conversions.begin_next(now, maker.snapshot(), plan);
     }
 
-    snapshot_maker world;
+    snapshot_maker maker;
     group_plan plan;
     group_conversion conversions;
 
@@ -61,8 +61,8 @@
 
 TEST_F(a_conversion, takes_the_fewest_groups_that_make_room_with_the_free_runners)
 {
-    world.set_work(large, 16);
-    world.set_work(small, 4);
+    maker.set_work(large, 16);
+    maker.set_work(small, 4);
     const auto next = begin(start);
     ASSERT_TRUE(next);
     EXPECT_EQ(next->to->name, large);
@@ -78,26 +78,26 @@
 
 TEST_F(a_conversion, is_not_begun_for_a_model_with_room)
 {
-    world.set_work(large, 7);
-    world.set_work(small, 1);
+    maker.set_work(large, 7);
+    maker.set_work(small, 1);
     EXPECT_FALSE(begin(start)) << "0.35 of the slots";
-    world.set_work(large, 9);
+    maker.set_work(large, 9);
     EXPECT_TRUE(begin(start)) << "0.45 of the slots";
 }
 
 TEST_F(a_conversion, is_not_begun_where_the_giving_model_would_be_nearly_as_busy)
 {
-    world.set_work(large, 16);
-    world.set_work(small, 12.1);
+    maker.set_work(large, 16);
+    maker.set_work(small, 12.1);
     EXPECT_FALSE(begin(start)) << "utilization of 0.8, and of 0.403 with one group less";
-    world.set_work(small, 12);
+    maker.set_work(small, 12);
     EXPECT_TRUE(begin(start)) << "utilization of 0.8, and of 0.4 with one group less";
 }
 
 TEST_F(a_conversion, settles_when_the_work_stays_the_same)
 {
-    world.set_work(large, 16);
-    world.set_work(small, 12);
+    maker.set_work(large, 16);
+    maker.set_work(small, 12);
     int begun = 0;
     for (auto now = start; now < start + seconds{60}; now += milliseconds{500}) {
         const auto next = begin(now);
@@ -107,21 +107,21 @@
         ++begun;
         const std::vector<runner_id> members{next->runners.begin(), next->runners.end()};
         conversions.on_formed(next->to->name, members);
-        conversions.remove_finished(now, world.snapshot());
+        conversions.remove_finished(now, maker.snapshot());
         // As the planner does: the retired groups end and the new one serves.
         for (const auto* group : next->retired) {
             plan.find(group->name)->phase = plan_phase::releasing;
-            world.count_group(next->domain, small, -1);
+            maker.count_group(next->domain, small, -1);
         }
-        world.count_group(next->domain, large, 1);
+        maker.count_group(next->domain, large, 1);
     }
     EXPECT_EQ(begun, 1) << "the reverse conversion would not lower the higher utilization";
 }
 
 TEST_F(a_conversion, waits_while_many_runners_are_under_conversion)
 {
-    world.set_work(large, 60);
-    world.set_work(small, 4);
+    maker.set_work(large, 60);
+    maker.set_work(small, 4);
     ASSERT_TRUE(begin(start));
     EXPECT_FALSE(begin(start + milliseconds{100})) << "the reports do not show the first one yet";
     EXPECT_FALSE(begin(start + seconds{1})) << "4 of 22 runners are more than an eighth";
@@ -129,8 +129,8 @@
 
 TEST_F(a_conversion, leaves_a_failure_domain_one_group_of_each_model)
 {
-    world.set_work(large, 60);
-    world.set_work(small, 1);
+    maker.set_work(large, 60);
+    maker.set_work(small, 1);
     std::size_t retired = 0;
     for (auto now = start; now < start + seconds{60}; now += seconds{1}) {
         if (const auto next = begin(now)) {
@@ -139,7 +139,7 @@
                 plan.find(group->name)->phase = plan_phase::releasing;
             }
             conversions.on_formed(next->to->name, {next->runners.begin(), next->runners.end()});
-            conversions.remove_finished(now, world.snapshot());
+            conversions.remove_finished(now, maker.snapshot());
         }
     }
     EXPECT_LE(retired, 3U) << "one of the four small groups remains in the only failure domain";
@@ -147,48 +147,48 @@
 
 TEST_F(a_conversion, is_not_undone_before_its_effect_shows)
 {
-    world.set_work(large, 16);
-    world.set_work(small, 4);
+    maker.set_work(large, 16);
+    maker.set_work(small, 4);
     const auto next = begin(start);
     ASSERT_TRUE(next);
     conversions.on_formed(large, {next->runners.begin(), next->runners.end()});
-    conversions.remove_finished(start, world.snapshot());
-    world.set_work(large, 2);
-    world.set_work(small, 36);
+    conversions.remove_finished(start, maker.snapshot());
+    maker.set_work(large, 2);
+    maker.set_work(small, 36);
     EXPECT_FALSE(begin(start + seconds{4}));
     EXPECT_TRUE(begin(start + seconds{6})) << "the load has shifted";
 }
 
 TEST_F(a_conversion, ends_with_its_group_without_its_runners_or_when_it_is_overdue)
 {
-    world.set_work(large, 16);
-    world.set_work(small, 4);
+    maker.set_work(large, 16);
+    maker.set_work(small, 4);
     auto next = begin(start);
     ASSERT_TRUE(next);
     const auto runner = *next->runners.begin();
 
     // Its group is formed.
     conversions.on_formed(large, {next->runners.begin(), next->runners.end()});
-    conversions.remove_finished(start, world.snapshot());
+    conversions.remove_finished(start, maker.snapshot());
     EXPECT_EQ(conversions.count(), 0U);
     EXPECT_EQ(conversions.reserved_for(runner), nullptr);
 
     // One of its runners is lost, and the others are too few for a group.
     next = begin(start + seconds{1});
     ASSERT_TRUE(next);
-    auto without = world.snapshot();
-    for (auto& each : without.runners) {
+    auto reduced = maker.snapshot();
+    for (auto& each : reduced.runners) {
         each.usable = each.usable && each.latest->id != *next->runners.begin();
     }
-    conversions.remove_finished(start + seconds{1}, without);
+    conversions.remove_finished(start + seconds{1}, reduced);
     EXPECT_EQ(conversions.count(), 0U);
 
     // It takes too long.
     next = begin(start + seconds{2});
     ASSERT_TRUE(next);
-    EXPECT_FALSE(conversions.remove_finished(start + seconds{13}, world.snapshot()));
+    EXPECT_FALSE(conversions.remove_finished(start + seconds{13}, maker.snapshot()));
     EXPECT_EQ(conversions.count(), 1U);
-    EXPECT_TRUE(conversions.remove_finished(start + seconds{14}, world.snapshot()));
+    EXPECT_TRUE(conversions.remove_finished(start + seconds{14}, maker.snapshot()));
     EXPECT_EQ(conversions.count(), 0U);
 }
 
--- a/tests/fleet/group_evidence_test.cpp
+++ b/tests/fleet/group_evidence_test.cpp
@@ -81,10 +81,10 @@
 TEST_F(the_members_of_a_group, are_back_if_a_later_incarnation_of_them_names_it)
 {
     free(member);
-    auto reborn = registry.find(member)->latest;
-    reborn.born = {1'000};
-    reborn.sequence = 1; // the new incarnation carried out a delayed order to join
-    ASSERT_TRUE(registry.announce(start, reborn));
+    auto restarted = registry.find(member)->latest;
+    restarted.born = {1'000};
+    restarted.sequence = 1; // the new incarnation carried out a delayed order to join
+    ASSERT_TRUE(registry.announce(start, restarted));
     EXPECT_FALSE(plan.is_freed(registry.find(member)->latest));
     EXPECT_TRUE(evidence.has_rejoined(group, member));
 }
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -24,16 +24,16 @@
 
     [[nodiscard]] std::optional<proposed_group> propose()
     {
-        return group_placement::propose(start, world.snapshot(), limiter);
+        return group_placement::propose(start, maker.snapshot(), limiter);
     }
     /// Forms groups until none is proposed, and returns the number of groups by fabric domain and
     /// model.
     std::map<std::pair<fabric_domain_id, model_id>, std::size_t> form_all()
     {
         while (const auto next = propose()) {
-            world.form(*next);
+            maker.form(*next);
         }
-        return world.snapshot().groups_by_domain;
+        return maker.snapshot().groups_by_domain;
     }
     [[nodiscard]] static std::size_t
     count(const std::map<std::pair<fabric_domain_id, model_id>, std::size_t>& in,
@@ -49,42 +49,42 @@
     /// measured.
     void add_serving_groups()
     {
-        world.count_group(fabric_domain_id{"other"}, large, 1);
-        world.count_group(fabric_domain_id{"other"}, small, 1);
+        maker.count_group(fabric_domain_id{"other"}, large, 1);
+        maker.count_group(fabric_domain_id{"other"}, small, 1);
     }
     [[nodiscard]] std::vector<staging_order> stage()
     {
-        return staging.plan(start, world.snapshot(), limiter);
+        return staging.plan(start, maker.snapshot(), limiter);
     }
 
-    snapshot_maker world;
+    snapshot_maker maker;
     weight_load_limiter limiter;
     weight_staging staging;
 };
 
 TEST_F(a_fleet_of_runners, gives_each_model_its_share_before_requests_come)
 {
-    world.has_traffic = false;
-    world.add("a", 8, {});
-    world.add("b", 8, {});
-    EXPECT_EQ(base_groups(world.snapshot(), world.pool(), world.model(large)), 2U);
-    EXPECT_EQ(base_groups(world.snapshot(), world.pool(), world.model(small)), 3U)
+    maker.has_traffic = false;
+    maker.add("a", 8, {});
+    maker.add("b", 8, {});
+    EXPECT_EQ(base_groups(maker.snapshot(), maker.pool(), maker.model(large)), 2U);
+    EXPECT_EQ(base_groups(maker.snapshot(), maker.pool(), maker.model(small)), 3U)
         << "8 of 16 runners, in groups of 3, rounded";
 }
 
 TEST_F(a_fleet_of_runners, gives_each_failure_domain_every_model)
 {
-    world.has_traffic = false;
-    world.set_sizes(4, 2);
+    maker.has_traffic = false;
+    maker.set_sizes(4, 2);
     for (const auto* domain : {"a0", "a1", "b0", "b1", "c0", "c1"}) {
-        world.add(domain, 8, {});
+        maker.add(domain, 8, {});
     }
     const auto formed = form_all();
-    EXPECT_EQ(world.count_free(), 0U);
-    const auto by_place = world.snapshot().groups_by_failure_domain;
-    for (const auto* place : {"a", "b", "c"}) {
-        EXPECT_TRUE(by_place.contains({failure_domain_id{place}, large})) << place;
-        EXPECT_TRUE(by_place.contains({failure_domain_id{place}, small})) << place;
+    EXPECT_EQ(maker.count_free(), 0U);
+    const auto by_failure_domain = maker.snapshot().groups_by_failure_domain;
+    for (const auto* domain : {"a", "b", "c"}) {
+        EXPECT_TRUE(by_failure_domain.contains({failure_domain_id{domain}, large})) << domain;
+        EXPECT_TRUE(by_failure_domain.contains({failure_domain_id{domain}, small})) << domain;
     }
     EXPECT_GE(count(formed, large), 6U);
     EXPECT_GE(count(formed, small), 8U);
@@ -92,12 +92,12 @@
 
 TEST_F(a_fleet_of_runners, keeps_a_fabric_domain_to_one_model_as_far_as_that_goes)
 {
-    world.has_traffic = false;
-    world.add("a0", 9, {});
-    world.add("a1", 9, {});
+    maker.has_traffic = false;
+    maker.add("a0", 9, {});
+    maker.add("a1", 9, {});
     const auto formed = form_all();
     EXPECT_EQ(formed.size(), 2U) << "one model in each fabric domain";
-    EXPECT_EQ(world.count_free(), 1U)
+    EXPECT_EQ(maker.count_free(), 1U)
         << "two groups of four in one domain of nine, three of three in the other";
     EXPECT_EQ(count(formed, large), 2U);
     EXPECT_EQ(count(formed, small), 3U);
@@ -106,10 +106,10 @@
 TEST_F(a_fleet_of_runners, forms_a_group_of_the_runners_that_join_soonest)
 {
     add_serving_groups();
-    world.add("a", 3, {small});
-    world.runner(0).id = runner_id{"z"};
-    world.set_work(small, 5);
-    world.set_loaded(0, small);
+    maker.add("a", 3, {small});
+    maker.runner(0).id = runner_id{"z"};
+    maker.set_work(small, 5);
+    maker.set_loaded(0, small);
     const auto next = propose();
     ASSERT_TRUE(next);
     EXPECT_EQ(next->model->name, small);
@@ -120,10 +120,10 @@
 TEST_F(a_fleet_of_runners, waits_for_no_weights_once_there_is_traffic)
 {
     add_serving_groups();
-    world.add("a", 4, {});
-    world.set_work(large, 5);
+    maker.add("a", 4, {});
+    maker.set_work(large, 5);
     EXPECT_FALSE(propose());
-    world.has_traffic = false;
+    maker.has_traffic = false;
     const auto next = propose();
     ASSERT_TRUE(next);
     EXPECT_GT(next->loads, 0U);
@@ -134,34 +134,34 @@
 TEST_F(a_fleet_of_runners, serves_the_model_first_that_is_shortest_of_room)
 {
     add_serving_groups();
-    world.add("a", 8, {large, small});
-    world.set_work(small, 5);
-    world.set_work(large, 4);
+    maker.add("a", 8, {large, small});
+    maker.set_work(small, 5);
+    maker.set_work(large, 4);
     EXPECT_EQ(propose()->model->name, small);
-    world.set_work(large, 6);
+    maker.set_work(large, 6);
     EXPECT_EQ(propose()->model->name, large);
-    world.expect_groups(large, 1);
+    maker.expect_groups(large, 1);
     EXPECT_EQ(propose()->model->name, small) << "a conversion will form a group of the large model";
 }
 
 TEST_F(a_fleet_of_runners, lets_runners_change_their_model_only_for_one_much_shorter_of_room)
 {
     add_serving_groups();
-    world.add("a", 3, {small});
-    for (std::size_t at = 0; at < 3; ++at) {
-        world.set_loaded(at, large);
+    maker.add("a", 3, {small});
+    for (std::size_t n = 0; n < 3; ++n) {
+        maker.set_loaded(n, large);
     }
-    world.set_work(small, 3.9);
+    maker.set_work(small, 3.9);
     EXPECT_FALSE(propose()) << "0.39 of its slots";
-    world.set_work(small, 4);
+    maker.set_work(small, 4);
     EXPECT_TRUE(propose());
-    world.set_work(large, 2.1);
+    maker.set_work(large, 2.1);
     EXPECT_FALSE(propose()) << "the model that they hold uses 0.21 of its slots";
-    world.set_work(large, 2);
+    maker.set_work(large, 2);
     EXPECT_TRUE(propose()) << "0.2 of its slots";
-    world.set_work(small, 0);
-    for (std::size_t at = 0; at < 3; ++at) {
-        world.set_loaded(at, small);
+    maker.set_work(small, 0);
+    for (std::size_t n = 0; n < 3; ++n) {
+        maker.set_loaded(n, small);
     }
     EXPECT_TRUE(propose()) << "no runner loses loaded weights";
 }
@@ -169,48 +169,48 @@
 TEST_F(a_fleet_of_runners, takes_runners_that_have_loaded_nothing_before_those_that_change)
 {
     add_serving_groups();
-    world.add("a", 4, {small});
-    world.set_loaded(0, large);
-    world.set_work(small, 5);
+    maker.add("a", 4, {small});
+    maker.set_loaded(0, large);
+    maker.set_work(small, 5);
     const auto next = propose();
     ASSERT_TRUE(next);
-    EXPECT_EQ(std::count(next->members.begin(), next->members.end(), world.runner(0).id), 0);
+    EXPECT_EQ(std::count(next->members.begin(), next->members.end(), maker.runner(0).id), 0);
 }
 
 TEST_F(a_fleet_of_runners, leaves_runners_to_the_model_that_a_conversion_keeps_them_for)
 {
     add_serving_groups();
-    world.add("a", 4, {large, small});
-    world.set_work(small, 9);
+    maker.add("a", 4, {large, small});
+    maker.set_work(small, 9);
     ASSERT_EQ(propose()->model->name, small);
-    for (std::size_t at = 0; at < 4; ++at) {
-        world.reserve_for(at, large);
-        world.set_loaded(at, small);
+    for (std::size_t n = 0; n < 4; ++n) {
+        maker.reserve_for(n, large);
+        maker.set_loaded(n, small);
     }
     EXPECT_EQ(propose()->model->name, large) << "the conversion has decided that they change";
 }
 
 TEST_F(a_fleet_of_runners, takes_a_model_without_a_group_for_short_of_room)
 {
-    world.add("a", 7, {large, small});
-    world.set_work(small, 50);
-    world.count_group(fabric_domain_id{"other"}, small, 1);
+    maker.add("a", 7, {large, small});
+    maker.set_work(small, 50);
+    maker.count_group(fabric_domain_id{"other"}, small, 1);
     EXPECT_EQ(propose()->model->name, small) << "load of 5 times its slots";
-    world.set_work(small, 30);
+    maker.set_work(small, 30);
     EXPECT_EQ(propose()->model->name, large) << "its load is not known";
 }
 
 TEST_F(a_fleet_of_runners, forms_a_group_of_loaded_runners_while_other_weights_are_copied)
 {
     add_serving_groups();
-    world.add("a", 3, {});
-    world.set_work(small, 5);
-    for (std::size_t at = 0; at < 3; ++at) {
-        world.set_staging(at);
+    maker.add("a", 3, {});
+    maker.set_work(small, 5);
+    for (std::size_t n = 0; n < 3; ++n) {
+        maker.set_staging(n);
     }
     EXPECT_FALSE(propose());
-    for (std::size_t at = 0; at < 3; ++at) {
-        world.set_loaded(at, small);
+    for (std::size_t n = 0; n < 3; ++n) {
+        maker.set_loaded(n, small);
     }
     EXPECT_TRUE(propose());
 }
@@ -218,16 +218,16 @@
 TEST_F(a_fleet_of_runners, stages_what_the_next_group_lacks_and_not_more)
 {
     add_serving_groups();
-    world.add("a", 3, {large});
-    world.add("a", 1, {});
-    world.set_work(large, 5);
+    maker.add("a", 3, {large});
+    maker.add("a", 1, {});
+    maker.set_work(large, 5);
     const auto orders = stage();
     ASSERT_FALSE(orders.empty());
-    EXPECT_EQ(orders.front().runner, world.runner(3).id);
+    EXPECT_EQ(orders.front().runner, maker.runner(3).id);
     EXPECT_EQ(orders.front().model, large) << "three of four runners have its weights";
-    EXPECT_TRUE(staging.is_under_way(world.runner(3).id));
+    EXPECT_TRUE(staging.is_under_way(maker.runner(3).id));
     for (const auto& order : stage()) {
-        EXPECT_NE(order.runner, world.runner(3).id);
+        EXPECT_NE(order.runner, maker.runner(3).id);
     }
 }
 
@@ -235,21 +235,21 @@
 {
     add_serving_groups();
     limiter.set_limits(100, 1); // one load at a time
-    world.add("a", 4, {small});
-    world.add("b", 3, {large});
-    world.add("b", 1, {small});
-    world.set_work(large, 5);
+    maker.add("a", 4, {small});
+    maker.add("b", 3, {large});
+    maker.add("b", 1, {small});
+    maker.set_work(large, 5);
     const auto orders = stage();
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders.front().runner, world.runner(7).id);
+    EXPECT_EQ(orders.front().runner, maker.runner(7).id);
 }
 
 TEST_F(a_fleet_of_runners, stages_a_second_model_for_runners_that_serve_before_requests_come)
 {
-    world.has_traffic = false;
+    maker.has_traffic = false;
     limiter.set_unmetered(true);
-    world.add("a", 4, {large});
-    world.set_serving({0, 1, 2, 3}, large);
+    maker.add("a", 4, {large});
+    maker.set_serving({0, 1, 2, 3}, large);
     const auto orders = stage();
     ASSERT_EQ(orders.size(), 4U);
     for (const auto& order : orders) {
@@ -260,8 +260,8 @@
 TEST_F(a_fleet_of_runners, stages_a_second_model_later_only_while_the_store_does_nothing_else)
 {
     add_serving_groups();
-    world.add("a", 4, {large});
-    world.set_serving({0, 1, 2, 3}, large);
+    maker.add("a", 4, {large});
+    maker.set_serving({0, 1, 2, 3}, large);
     EXPECT_EQ(stage().size(), 1U);
     EXPECT_TRUE(stage().empty());
 }
@@ -270,15 +270,15 @@
 {
     add_serving_groups();
     limiter.set_limits(100, 1); // one load at a time
-    world.add("a", 8, {large});
-    world.set_serving({0, 1, 2, 3}, large);
-    world.set_serving({4, 5, 6, 7}, large);
-    world.add("a", 1, {});
-    world.set_work(small, 9);
-    world.set_work(large, 16);
+    maker.add("a", 8, {large});
+    maker.set_serving({0, 1, 2, 3}, large);
+    maker.set_serving({4, 5, 6, 7}, large);
+    maker.add("a", 1, {});
+    maker.set_work(small, 9);
+    maker.set_work(large, 16);
     const auto orders = stage();
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders.front().runner, world.runner(8).id);
+    EXPECT_EQ(orders.front().runner, maker.runner(8).id);
     EXPECT_EQ(orders.front().model, large)
         << "if a group loses a member, the others and this runner form one";
 }
@@ -286,11 +286,11 @@
 TEST_F(a_fleet_of_runners, prepares_runners_that_serve_for_a_model_much_shorter_of_room)
 {
     add_serving_groups();
-    world.add("a", 4, {});
-    world.set_serving({0, 1, 2}, small);
-    world.set_loaded(3, large);
-    world.set_work(large, 9);
-    world.set_work(small, 2);
+    maker.add("a", 4, {});
+    maker.set_serving({0, 1, 2}, small);
+    maker.set_loaded(3, large);
+    maker.set_work(large, 9);
+    maker.set_work(small, 2);
     const auto orders = stage();
     ASSERT_EQ(orders.size(), 3U);
     for (const auto& order : orders) {
@@ -301,31 +301,31 @@
 TEST_F(a_fleet_of_runners, repeats_an_order_to_stage_until_it_is_answered)
 {
     add_serving_groups();
-    world.add("a", 4, {});
-    world.set_work(large, 5);
+    maker.add("a", 4, {});
+    maker.set_work(large, 5);
     const auto first = stage();
     ASSERT_EQ(first.size(), 4U);
     staging.on_order_result(start, first[0].runner, large, order_result::unknown);
     staging.on_order_result(start, first[1].runner, large, order_result::taken);
-    const auto at = [&](duration passed) {
-        return staging.plan(start + passed, world.snapshot(), limiter);
+    const auto plan_after = [&](duration passed) {
+        return staging.plan(start + passed, maker.snapshot(), limiter);
     };
-    EXPECT_TRUE(at(milliseconds{900}).empty());
-    const auto again = at(seconds{1});
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again.front().runner, first[0].runner);
-    EXPECT_TRUE(at(seconds{3}).empty()) << "its answer is under way";
+    EXPECT_TRUE(plan_after(milliseconds{900}).empty());
+    const auto repeated = plan_after(seconds{1});
+    ASSERT_EQ(repeated.size(), 1U);
+    EXPECT_EQ(repeated.front().runner, first[0].runner);
+    EXPECT_TRUE(plan_after(seconds{3}).empty()) << "its answer is under way";
 }
 
 TEST_F(a_fleet_of_runners, forgets_a_runner_that_never_answers_an_order_to_stage)
 {
     add_serving_groups();
-    world.add("a", 4, {});
-    world.set_work(large, 5);
+    maker.add("a", 4, {});
+    maker.set_work(large, 5);
     runner_registry registry;
-    for (std::size_t at = 0; at < 4; ++at) {
-        auto each = world.runner(at);
-        each.address = *endpoint::parse(fmt::format("10.0.0.{}:80", at + 1));
+    for (std::size_t n = 0; n < 4; ++n) {
+        auto each = maker.runner(n);
+        each.address = *endpoint::parse(fmt::format("10.0.0.{}:80", n + 1));
         registry.announce(start, each);
     }
     const auto first = stage();
@@ -342,15 +342,15 @@
 TEST_F(a_fleet_of_runners, keeps_the_second_model_of_a_runner_that_serves)
 {
     add_serving_groups();
-    world.add("a", 4, {small});
-    world.set_serving({0, 1, 2, 3}, large);
+    maker.add("a", 4, {small});
+    maker.set_serving({0, 1, 2, 3}, large);
     EXPECT_TRUE(stage().empty());
 }
 
 TEST_F(a_fleet_of_runners, has_nothing_to_do_for_a_service_without_models)
 {
-    world.add("a", 4, {});
-    world.remove_models();
+    maker.add("a", 4, {});
+    maker.remove_models();
     EXPECT_FALSE(propose());
     EXPECT_TRUE(stage().empty());
 }
@@ -358,11 +358,11 @@
 TEST_F(a_fleet_of_runners, takes_weights_for_lost_after_twice_their_time)
 {
     add_serving_groups();
-    world.add("a", 4, {});
-    world.set_work(large, 5);
+    maker.add("a", 4, {});
+    maker.set_work(large, 5);
     runner_registry registry;
-    for (std::size_t at = 0; at < 4; ++at) {
-        auto each = world.runner(at);
+    for (std::size_t n = 0; n < 4; ++n) {
+        auto each = maker.runner(n);
         each.address = *endpoint::parse("10.0.0.1:80");
         registry.announce(start, each);
     }
--- a/tests/fleet/request_admission_test.cpp
+++ b/tests/fleet/request_admission_test.cpp
@@ -58,10 +58,11 @@
 
 TEST_F(a_request, needs_a_key_that_an_account_has_unless_its_route_is_public)
 {
-    const admission_request stranger{
+    const admission_request unknown_caller{
         .host = "h", .target = "/ask/x", .authorization = "Bearer nobody"};
-    EXPECT_EQ(ask(stranger).refusal, admission_refusal::unknown_key);
-    EXPECT_NE(ask(stranger).route, nullptr) << "the log contains the route of a refused request";
+    EXPECT_EQ(ask(unknown_caller).refusal, admission_refusal::unknown_key);
+    EXPECT_NE(ask(unknown_caller).route, nullptr)
+        << "the log contains the route of a refused request";
     EXPECT_EQ(ask({.host = "h", .target = "/ask/x"}).refusal, admission_refusal::unknown_key);
     EXPECT_EQ(ask({.host = "h", .target = "/ask/x", .authorization = "k1"}).refusal,
               admission_refusal::unknown_key);
--- a/tests/fleet/retry_budget_test.cpp
+++ b/tests/fleet/retry_budget_test.cpp
@@ -13,7 +13,7 @@
     windowed_retry_budget budget{
         {.ratio = 0.2, .window = milliseconds{10'000}, .slack = 20, .safety = 1}, long_ago};
     const instant now{seconds{100}};
-    for (int sent = 0; sent < 50; ++sent) {
+    for (int n = 0; n < 50; ++n) {
         budget.on_first_attempt(now);
     }
     int taken = 0;
--- a/tests/fleet/route_table_test.cpp
+++ b/tests/fleet/route_table_test.cpp
@@ -48,9 +48,9 @@
     EXPECT_EQ(route_table::choose_target(route, 0.0).service.str(), "one");
     EXPECT_EQ(route_table::choose_target(route, 0.89).service.str(), "one");
     EXPECT_EQ(route_table::choose_target(route, 0.91).service.str(), "two");
-    auto none_for_the_last = route;
-    none_for_the_last.targets.back().weight = 0;
-    EXPECT_EQ(route_table::choose_target(none_for_the_last, 0.999).service.str(), "one");
+    auto last_weight_zero = route;
+    last_weight_zero.targets.back().weight = 0;
+    EXPECT_EQ(route_table::choose_target(last_weight_zero, 0.999).service.str(), "one");
 }
 
 } // namespace
--- a/tests/fleet/runner_orders_test.cpp
+++ b/tests/fleet/runner_orders_test.cpp
@@ -25,7 +25,7 @@
         hooks.on_probe_failed = [](const runner_id&, probe_failure) {};
         hooks.incarnation_of = [this](const runner_id&) { return its_incarnation; };
         hooks.on_leaving = [this](const runner_id&, incarnation departed_incarnation) {
-            left.push_back(departed_incarnation);
+            leaving.push_back(departed_incarnation);
         };
         orders = std::make_unique<runner_orders>(installed_platform(), std::move(hooks));
     }
@@ -44,7 +44,7 @@
     int ended = 0;
     bool leads = true;
     incarnation its_incarnation{1000};
-    std::vector<incarnation> left; ///< incarnations that announced that they leave
+    std::vector<incarnation> leaving; ///< incarnations that announced that they leave
     http_head answer{200, {}};
     http_listener runner{caller_limits{},
                          [this](const http_request&, const std::shared_ptr<http_reply>& reply) {
@@ -79,7 +79,7 @@
     give_order();
     EXPECT_TRUE(wait_until([&] { return ended == 1; }));
     answer = {200, {}};
-    for (int again = 0; again < 3; ++again) {
+    for (int n = 0; n < 3; ++n) {
         give_order();
         pass_time(milliseconds{100});
     }
@@ -96,12 +96,12 @@
     give_order();
     its_incarnation = incarnation{2000}; // the runner has restarted in the meantime
     EXPECT_TRUE(wait_until([&] { return ended == 1; }));
-    EXPECT_EQ(left, std::vector{incarnation{1000}});
+    EXPECT_EQ(leaving, std::vector{incarnation{1000}});
 
     answer.status = 421;
     give_order();
     EXPECT_TRUE(wait_until([&] { return ended == 2; }));
-    EXPECT_EQ(left.size(), 1U) << "another runner has its address";
+    EXPECT_EQ(leaving.size(), 1U) << "another runner has its address";
 }
 
 } // namespace
--- a/tests/fleet/runner_registry_test.cpp
+++ b/tests/fleet/runner_registry_test.cpp
@@ -31,12 +31,12 @@
     EXPECT_TRUE(registry.announce(start, heartbeat_of("i-1", "10.0.0.1:80", 5)));
 }
 
-/// Returns a heartbeat of the incarnation of `i-1` that began at `born`.
-announcement heartbeat_of_incarnation(std::uint64_t born, const std::string& address,
+/// Returns a heartbeat of the incarnation of `i-1` that began at `start_ms`.
+announcement heartbeat_of_incarnation(std::uint64_t start_ms, const std::string& address,
                                       std::uint64_t sequence)
 {
     auto out = heartbeat_of("i-1", address, sequence);
-    out.born = {born};
+    out.born = {start_ms};
     return out;
 }
 
--- a/tests/fleet/snapshot_maker.cpp
+++ b/tests/fleet/snapshot_maker.cpp
@@ -26,16 +26,16 @@
     configuration_.services = {pool};
 }
 
-void snapshot_maker::set_sizes(std::size_t of_large, std::size_t of_small)
+void snapshot_maker::set_sizes(std::size_t large_size, std::size_t small_size)
 {
     auto& models = configuration_.services.front().engine->models;
-    models[0].group_size = of_large;
-    models[1].group_size = of_small;
+    models[0].group_size = large_size;
+    models[1].group_size = small_size;
 }
 
 void snapshot_maker::add(const std::string& domain, int count, const std::vector<model_id>& staged)
 {
-    for (int made = 0; made < count; ++made) {
+    for (int n = 0; n < count; ++n) {
         announcement next;
         next.id = runner_id{fmt::format("r{:02}", announced_.size())};
         next.service = pool().name;
@@ -49,9 +49,9 @@
 
 void snapshot_maker::set_serving(const std::vector<std::size_t>& runners, const model_id& model)
 {
-    for (const auto at : runners) {
-        serving_[at] = true;
-        loaded_[at] = model;
+    for (const auto n : runners) {
+        serving_[n] = true;
+        loaded_[n] = model;
     }
     ++groups_[{announced_.at(runners.front()).fabric_domain, model}];
 }
@@ -65,10 +65,10 @@
 void snapshot_maker::form(const proposed_group& group)
 {
     std::vector<std::size_t> members;
-    for (std::size_t at = 0; at < announced_.size(); ++at) {
-        const auto& id = announced_[at].id;
+    for (std::size_t n = 0; n < announced_.size(); ++n) {
+        const auto& id = announced_[n].id;
         if (std::find(group.members.begin(), group.members.end(), id) != group.members.end()) {
-            members.push_back(at);
+            members.push_back(n);
         }
     }
     set_serving(members, group.model->name);
@@ -86,39 +86,39 @@
 
 const placement_snapshot& snapshot_maker::snapshot()
 {
-    in_ = {};
-    in_.configuration = &configuration_;
-    in_.has_traffic = has_traffic;
-    in_.expected = expected_;
-    in_.groups_by_domain = groups_;
+    snapshot_ = {};
+    snapshot_.configuration = &configuration_;
+    snapshot_.has_traffic = has_traffic;
+    snapshot_.expected = expected_;
+    snapshot_.groups_by_domain = groups_;
     for (const auto& [key, count] : groups_) {
-        in_.groups[key.second] += count;
-        in_.groups_by_failure_domain[{failure_domains_.at(key.first), key.second}] += count;
+        snapshot_.groups[key.second] += count;
+        snapshot_.groups_by_failure_domain[{failure_domains_.at(key.first), key.second}] += count;
     }
     for (const auto& [model, requests] : work_) {
-        in_.work[{pool().name, model}] = requests;
+        snapshot_.work[{pool().name, model}] = requests;
     }
-    const auto find = [](auto& in, std::size_t at) {
-        const auto found = in.find(at);
+    const auto find = [](auto& in, std::size_t n) {
+        const auto found = in.find(n);
         return found == in.end() ? nullptr : &found->second;
     };
-    for (std::size_t at = 0; at < announced_.size(); ++at) {
+    for (std::size_t n = 0; n < announced_.size(); ++n) {
         runner_snapshot next;
-        next.latest = &announced_[at];
+        next.latest = &announced_[n];
         next.usable = true;
         next.settled = true;
-        next.free = find(serving_, at) == nullptr;
-        next.staging = std::count(staging_.begin(), staging_.end(), at) > 0;
-        next.last_model = find(loaded_, at);
-        next.reserved_for = find(reserved_for_, at);
-        in_.runners.push_back(next);
+        next.free = find(serving_, n) == nullptr;
+        next.staging = std::count(staging_.begin(), staging_.end(), n) > 0;
+        next.last_model = find(loaded_, n);
+        next.reserved_for = find(reserved_for_, n);
+        snapshot_.runners.push_back(next);
     }
-    for (const auto& each : in_.runners) {
+    for (const auto& each : snapshot_.runners) {
         if (each.free) {
-            in_.free[each.latest->fabric_domain].push_back(&each);
+            snapshot_.free[each.latest->fabric_domain].push_back(&each);
         }
     }
-    return in_;
+    return snapshot_;
 }
 
 std::size_t snapshot_maker::count_free()
--- a/tests/fleet/snapshot_maker.h
+++ b/tests/fleet/snapshot_maker.h
@@ -22,14 +22,14 @@
     snapshot_maker();
 
     void remove_models() { configuration_.services.front().engine->models.clear(); }
-    void set_sizes(std::size_t of_large, std::size_t of_small);
+    void set_sizes(std::size_t large_size, std::size_t small_size);
     /// Adds free runners to one fabric domain, all with the same weights on their hosts. The
     /// failure domain is the first letter of the fabric domain.
     void add(const std::string& domain, int count, const std::vector<model_id>& staged);
-    [[nodiscard]] announcement& runner(std::size_t at) { return announced_.at(at); }
-    void set_loaded(std::size_t at, const model_id& model) { loaded_[at] = model; }
-    void set_staging(std::size_t at) { staging_.push_back(at); }
-    void reserve_for(std::size_t at, const model_id& model) { reserved_for_[at] = model; }
+    [[nodiscard]] announcement& runner(std::size_t n) { return announced_.at(n); }
+    void set_loaded(std::size_t n, const model_id& model) { loaded_[n] = model; }
+    void set_staging(std::size_t n) { staging_.push_back(n); }
+    void reserve_for(std::size_t n, const model_id& model) { reserved_for_[n] = model; }
     /// Makes the runners serve in a group of the model.
     void set_serving(const std::vector<std::size_t>& runners, const model_id& model);
     /// Forms the proposed group.
@@ -60,7 +60,7 @@
     std::map<model_id, std::size_t> expected_;
     std::map<std::pair<fabric_domain_id, model_id>, std::size_t> groups_;
     std::map<fabric_domain_id, failure_domain_id> failure_domains_;
-    placement_snapshot in_;
+    placement_snapshot snapshot_;
 };
 
 } // namespace cedarpoint::testing_support
