--- a/tests/soak/control_restart_test.cpp
+++ b/tests/soak/control_restart_test.cpp
@@ -69,8 +69,10 @@
             pass_time(milliseconds{random() % 3 * (random() % 200)});
         }
         const auto start = steady_now();
-        ASSERT_TRUE(wait_until([&] { return fleet.leader().has_value(); })) << "round " << round;
-        ASSERT_LT(steady_now() - start, max_recovery_time) << "round " << round;
+        ASSERT_TRUE(wait_until([&] { return fleet.leader().has_value(); }))
+            << "round " << round << fleet.describe_controls();
+        ASSERT_LT(steady_now() - start, max_recovery_time)
+            << "round " << round << fleet.describe_controls();
         // The next kill comes at a random time after the election.
         pass_time(milliseconds{random() % 2 * (random() % 1500)});
     }
--- a/tests/soak/fleet_soak_test.cpp
+++ b/tests/soak/fleet_soak_test.cpp
@@ -327,13 +327,14 @@
     }
     const auto faults_ended = steady_now();
     ASSERT_TRUE(wait_until([&] { return send_request(); }))
-        << "seed " << GetParam() << ": " << fault_history;
+        << "seed " << GetParam() << ": " << fault_history << fleet.describe_controls();
     EXPECT_LT(steady_now() - faults_ended, seconds{12});
     const int version_before = acknowledged_version;
     ASSERT_TRUE(wait_until([&] {
         change_configuration();
         return acknowledged_version > version_before;
-    }));
+    })) << "seed "
+        << GetParam() << ": " << fault_history << fleet.describe_controls();
     read_configuration();
     if (has_crashing_request) {
         expect_quarantine(fault_history);
--- a/tests/support/fleet_processes.cpp
+++ b/tests/support/fleet_processes.cpp
@@ -5,7 +5,9 @@
 #include "fleet/fleet_site.h"
 
 #include <algorithm>
+#include <deque>
 #include <fmt/format.h>
+#include <fmt/ranges.h>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -17,6 +19,21 @@
 constexpr std::uint16_t control_port = 18'229;
 constexpr std::uint16_t callers_port = 18'230;
 constexpr std::uint16_t ready_port = 18'231;
+/// Lines of a daemon's log in the message of a failed check.
+constexpr std::size_t max_described_lines = 12;
+
+std::deque<std::string> last_lines(const std::string& file)
+{
+    std::deque<std::string> out;
+    std::ifstream in{file};
+    for (std::string line; std::getline(in, line);) {
+        out.push_back(std::move(line));
+        if (out.size() > max_described_lines) {
+            out.pop_front();
+        }
+    }
+    return out;
+}
 
 } // namespace
 
@@ -81,9 +98,8 @@
     }
     const auto settings_file = fmt::format("{}/d-{}.json", folder_.path().toStdString(), index);
     std::ofstream{settings_file} << settings_json.dump();
-    const auto log_file = fmt::format("{}/{}-{}.log", BINARY_DIR, options_.log_name, index);
     daemons_[static_cast<std::size_t>(index)] =
-        std::make_unique<daemon_process>(settings_file, log_file, options_.preload);
+        std::make_unique<daemon_process>(settings_file, log_file_of(index), options_.preload);
 }
 
 void fleet_processes::start_all()
@@ -129,4 +145,21 @@
     });
 }
 
+std::string fleet_processes::describe_controls() const
+{
+    std::string out;
+    for (int index = 0; index < control_count; ++index) {
+        const auto& daemon = daemons_[static_cast<std::size_t>(index)];
+        out += fmt::format("\ncontrol daemon {}, running: {}\n  {}", index,
+                           daemon != nullptr && daemon->is_running(),
+                           fmt::join(last_lines(log_file_of(index)), "\n  "));
+    }
+    return out;
+}
+
+std::string fleet_processes::log_file_of(int index) const
+{
+    return fmt::format("{}/{}-{}.log", BINARY_DIR, options_.log_name, index);
+}
+
 } // namespace cedarpoint::testing_support
--- a/tests/support/fleet_processes.h
+++ b/tests/support/fleet_processes.h
@@ -57,8 +57,13 @@
     /// Waits until each entry daemon serves a GET of `target`. Returns false on a timeout.
     [[nodiscard]] bool wait_serving(const std::string& target) const;
 
+    /// Returns, for each control daemon, whether its process runs and the end of its log, for the
+    /// message of a failed check.
+    [[nodiscard]] std::string describe_controls() const;
+
 private:
     [[nodiscard]] std::string ip_of_entry(int index) const;
+    [[nodiscard]] std::string log_file_of(int index) const;
 
     options options_;
     QTemporaryDir folder_;
