--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -196,5 +196,45 @@
     EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds{10});
 }
 
+// Guards against a daemon that never connects again after it received bytes that break the
+// protocol: ZeroMQ does not reconnect after a protocol error.
+TEST(a_peer, whose_address_answered_with_invalid_bytes_is_retried)
+{
+    QTcpServer other;
+    ASSERT_TRUE(other.listen(QHostAddress::LocalHost));
+    const endpoint address{"127.0.0.1", other.serverPort()};
+    reason why;
+    mesh sender{[](const wire::envelope&) {}};
+    ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
+    const daemon_id peer{address.str()};
+    sender.add_peer(peer);
+    std::unique_ptr<QTcpSocket> accepted;
+    ASSERT_TRUE(wait_until([&] {
+        accepted.reset(other.nextPendingConnection());
+        return accepted != nullptr;
+    }));
+    // The signature and the version of ZMTP 3.1, then a mechanism that does not exist.
+    constexpr int greeting_bytes = 64;
+    QByteArray greeting{"\xff\0\0\0\0\0\0\0\1\x7f\3\1"
+                        "unknown",
+                        19};
+    greeting.resize(greeting_bytes, '\0');
+    accepted->write(greeting);
+    ASSERT_TRUE(wait_until([&] { return accepted->state() == QAbstractSocket::UnconnectedState; }));
+    other.close();
+    bool received = false;
+    mesh receiver{[&](const wire::envelope&) { received = true; }};
+    ASSERT_TRUE(receiver.start_unauthenticated(address, why)) << why.str();
+    wire::envelope message;
+    message.set_from("sender");
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds{10};
+    EXPECT_TRUE(wait_until([&] {
+        sender.send(peer, message);
+        receiver.drain();
+        return received || std::chrono::steady_clock::now() >= deadline;
+    }));
+    EXPECT_TRUE(received);
+}
+
 } // namespace
 } // namespace cedarpoint
--- a/tests/soak/loopback_proxy.cpp
+++ b/tests/soak/loopback_proxy.cpp
@@ -2,6 +2,7 @@
 
 #include <QTimer>
 
+#include <deque>
 #include <sys/socket.h>
 
 namespace cedarpoint::testing_support {
@@ -10,6 +11,9 @@
 struct loopback_proxy::connection {
     QTcpSocket* caller_socket = nullptr;
     QTcpSocket target_socket;
+    /// Bytes whose delay has not passed yet.
+    std::deque<QByteArray> to_caller;
+    std::deque<QByteArray> to_target;
 };
 
 loopback_proxy::loopback_proxy(const endpoint& source, endpoint target)
@@ -75,11 +79,21 @@
     if (bytes.isEmpty()) {
         return;
     }
-    if (delay_ms_ == 0) {
+    auto& delayed = from_caller ? it->to_target : it->to_caller;
+    if (delay_ms_ == 0 && delayed.empty()) {
         to.write(bytes);
         return;
     }
-    QTimer::singleShot(delay_ms_, &to, [&to, bytes] { to.write(bytes); });
+    // Each timer forwards the oldest bytes, so that they stay in order when the delay changes.
+    delayed.push_back(bytes);
+    const std::weak_ptr<connection> weak_connection = it;
+    QTimer::singleShot(delay_ms_, &to, [&to, weak_connection, from_caller] {
+        if (const auto open = weak_connection.lock()) {
+            auto& oldest_first = from_caller ? open->to_target : open->to_caller;
+            to.write(oldest_first.front());
+            oldest_first.pop_front();
+        }
+    });
 }
 
 void loopback_proxy::set_stalled(bool stalled)
