--- a/tests/control/random_run_test.cpp
+++ b/tests/control/random_run_test.cpp
@@ -138,11 +138,11 @@
             }
         }
         else if (world_.is_up(name)) {
-            ask(what, name, it);
+            perform_client_request(what, name, it);
         }
     }
 
-    void ask(std::string_view what, const std::string& name, const operation& it)
+    void perform_client_request(std::string_view what, const std::string& name, const operation& it)
     {
         if (what == "apply") {
             const auto based_on = world_.plane(name).domain().in_force().value;
--- a/tests/quarantine/crashing_request_test.cpp
+++ b/tests/quarantine/crashing_request_test.cpp
@@ -79,8 +79,10 @@
     }
 
     /// Starts callers that all send the same body, on a safe or an unsafe route.
-    std::unique_ptr<open_loop_callers> ask(double per_second, const std::string& name,
-                                           const std::string& target, const std::string& body)
+    std::unique_ptr<open_loop_callers> start_callers_with_same_body(double per_second,
+                                                                    const std::string& name,
+                                                                    const std::string& target,
+                                                                    const std::string& body)
     {
         return std::make_unique<open_loop_callers>(
             fleet.entries(), per_second, name, [target, body](std::size_t) {
@@ -158,8 +160,8 @@
 TEST_P(a_fleet_with_a_crashing_request, sends_it_to_few_more_runners_once_three_have_ended)
 {
     const auto sound = ask_sound(30);
-    auto first = ask(5, "first", "/safe/x", repeatable);
-    auto second = ask(4, "second", "/once/x", unrepeatable);
+    auto first = start_callers_with_same_body(5, "first", "/safe/x", repeatable);
+    auto second = start_callers_with_same_body(4, "second", "/once/x", unrepeatable);
     pass_time(seconds{9});
     expect_guarantee(repeatable);
     expect_guarantee(unrepeatable);
@@ -192,7 +194,7 @@
     first.reset();
     second.reset();
     pass_time(seconds{10});
-    first = ask(5, "again", "/safe/x", repeatable);
+    first = start_callers_with_same_body(5, "again", "/safe/x", repeatable);
     pass_time(seconds{3});
     expect_guarantee(repeatable);
     expect_no_quarantine(*sound);
@@ -208,7 +210,7 @@
         runner->restart_delay = milliseconds{300};
     }
     const auto sound = ask_sound(30);
-    const auto crashing = ask(7, "crashing", "/safe/x", repeatable);
+    const auto crashing = start_callers_with_same_body(7, "crashing", "/safe/x", repeatable);
     pass_time(seconds{12});
     expect_guarantee(repeatable);
     expect_no_quarantine(*sound);
@@ -223,7 +225,7 @@
         runner->keeps_port_open = true;
         runner->restart_delay = milliseconds{300};
     }
-    const auto popular = ask(60, "popular", "/safe/x", "popular");
+    const auto popular = start_callers_with_same_body(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 20; ++round) {
         for (std::size_t n = 0; n < runners.size(); n += 3) {
             runners[(n + static_cast<std::size_t>(round)) % runners.size()]->crash();
@@ -238,7 +240,7 @@
 TEST_P(a_fleet_with_a_crashing_request, keeps_serving_a_popular_request_while_runners_end)
 {
     // The runners crash for another reason while the popular request is in flight at each of them.
-    const auto popular = ask(60, "popular", "/safe/x", "popular");
+    const auto popular = start_callers_with_same_body(60, "popular", "/safe/x", "popular");
     for (int round = 0; round < 3; ++round) {
         for (std::size_t n = 0; n < runners.size(); n += 2) {
             runners[n]->crash();
@@ -263,7 +265,7 @@
     }
     const auto beside = ask_sound(runner_count * 10 / 0.4);
     pass_time(seconds{1});
-    const auto crashing = ask(4, "crashing", "/safe/x", repeatable);
+    const auto crashing = start_callers_with_same_body(4, "crashing", "/safe/x", repeatable);
     pass_time(seconds{9});
     expect_guarantee(repeatable);
     expect_no_quarantine(*beside);
--- a/tests/quarantine/quarantine_api_test.cpp
+++ b/tests/quarantine/quarantine_api_test.cpp
@@ -31,10 +31,10 @@
             runners.back()->restart_delay = milliseconds{200};
         }
         EXPECT_EQ(site.put(document), 200);
-        EXPECT_TRUE(wait_until([&] { return ask("sound") == 200; }));
+        EXPECT_TRUE(wait_until([&] { return send_request("sound") == 200; }));
     }
 
-    int ask(const std::string& body)
+    int send_request(const std::string& body)
     {
         return call(site.callers(), "POST", "/safe/x",
                     fmt::format("X-Cedarpoint-Request-Id: r{}\r\n", ++asked), body)
@@ -69,8 +69,9 @@
 TEST_F(a_quarantined_request, is_listed_with_its_crashes_and_served_again_once_it_is_lifted)
 {
     EXPECT_TRUE(listed().empty());
-    ASSERT_TRUE(wait_until([&] { return ask("ends-runners") == 429; }));
-    EXPECT_TRUE(wait_until([&] { return ask("sound") == 200; })) << "once the runners are back";
+    ASSERT_TRUE(wait_until([&] { return send_request("ends-runners") == 429; }));
+    EXPECT_TRUE(wait_until([&] { return send_request("sound") == 200; }))
+        << "once the runners are back";
     const auto list = listed();
     ASSERT_EQ(list.size(), 1U);
     EXPECT_GE(list[0].at("crashes").size(), 3U);
@@ -84,7 +85,7 @@
     const auto fingerprint = list[0].at("fingerprint").get<std::string>();
     const auto lift = "/cedarpoint/quarantine/" + fingerprint + "/lift";
     EXPECT_EQ(call_leader("POST", lift).head.status, 200);
-    EXPECT_TRUE(wait_until([&] { return ask("ends-runners") == 200; }));
+    EXPECT_TRUE(wait_until([&] { return send_request("ends-runners") == 200; }));
     EXPECT_TRUE(listed().empty());
     EXPECT_EQ(call_leader("POST", lift).head.status, 404) << "no longer quarantined";
 
@@ -93,14 +94,14 @@
     ASSERT_TRUE(old_leader.has_value());
     site.stop_control(*old_leader);
     ASSERT_TRUE(wait_until([&] { return site.leader().has_value(); }));
-    EXPECT_EQ(ask("ends-runners"), 200);
+    EXPECT_EQ(send_request("ends-runners"), 200);
     EXPECT_TRUE(listed().empty());
 
     // The request crashes runners again, and is counted from zero.
     for (const auto& runner : runners) {
         runner->crash_trigger = "ends-runners";
     }
-    EXPECT_TRUE(wait_until([&] { return ask("ends-runners") == 429; }));
+    EXPECT_TRUE(wait_until([&] { return send_request("ends-runners") == 429; }));
     EXPECT_EQ(listed().size(), 1U);
 }
 
--- a/tests/runner_signals/paused_fleet_test.cpp
+++ b/tests/runner_signals/paused_fleet_test.cpp
@@ -26,8 +26,8 @@
 using testing_support::pausing_runner;
 using testing_support::platform_runner;
 
-/// Guarantee to users: after a runner's first answer to a daemon that signals a leave, this daemon
-/// sends it no callers' requests later than this.
+/// Guaranteed to users: once an entry daemon has received an answer which signals that the runner
+/// is leaving, it stops sending callers' requests to this runner within this time.
 constexpr duration drain_time = seconds{2};
 
 constexpr duration at_once = milliseconds{500};
@@ -82,8 +82,10 @@
         }
     }
 
-    /// One runner asks one entry daemon for a pause of 1.5 to 4 s. Each daemon keeps at least two
-    /// runners, and no request gets a 503 from both others.
+    /// Makes a random runner reject the next request of a random entry daemon with a pause of 1.5
+    /// to 4 s. Does nothing if a rejection is pending for the daemon at any runner, if half of the
+    /// runners are paused for it, or if the chosen one is. So at least two runners are not paused
+    /// for each daemon, and it can retry a rejected request at one of them.
     void pause_at_random()
     {
         std::uniform_int_distribution<int> any_sender{0, GetParam().entry_daemons - 1};
@@ -129,12 +131,12 @@
         return out;
     }
 
-    /// Requests that a runner received after it began to leave at `left_at`.
-    /// `late`: from a daemon more than `drain_time` after the first request since `left_at` from
-    /// that daemon, which the runner answered with the signal. `after`: from any daemon, at or
-    /// after `from`.
+    /// Counts the requests that a runner has received since it began to leave at `left_at`. The
+    /// runner signals the leave in its answer to each of them.
     struct leave_count {
+        /// More than `drain_time` after the first request of the same daemon since `left_at`.
         int late = 0;
+        /// At `from` or later, from any daemon.
         int after = 0;
     };
     [[nodiscard]] leave_count count_after_leave(std::size_t runner, instant left_at,
@@ -214,7 +216,7 @@
             each->ask(sender, pause_of_all);
         }
     }
-    pass_time(seconds{2}); // by then each daemon has asked all four
+    pass_time(seconds{2}); // by then each daemon has sent a request to each runner
     const auto all_paused = steady_now();
     pass_time(seconds{2});
     EXPECT_EQ(count_requests_in_pauses(), 0);
