--- a/tests/io/mesh_test.cpp
+++ b/tests/io/mesh_test.cpp
@@ -166,53 +166,61 @@
     EXPECT_EQ(it.received_by_a, 0);
 }
 
-TEST(a_peer, that_accepts_the_connection_and_sends_nothing_is_retried)
-{
-    auto silent_server = std::make_unique<QTcpServer>();
-    ASSERT_TRUE(silent_server->listen(QHostAddress::LocalHost));
-    const endpoint address{"127.0.0.1", silent_server->serverPort()};
-    reason why;
+/// A daemon with one peer, at whose address something else has accepted its connection.
+class a_peer : public testing::Test {
+protected:
+    void SetUp() override
+    {
+        ASSERT_TRUE(other.listen(QHostAddress::LocalHost));
+        address = {"127.0.0.1", other.serverPort()};
+        peer = daemon_id{address.str()};
+        reason why;
+        ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
+        sender.add_peer(peer);
+        ASSERT_TRUE(wait_until([&] {
+            accepted.reset(other.nextPendingConnection());
+            return accepted != nullptr;
+        }));
+    }
+
+    /// Starts the peer at its address and expects a message there within 10 s.
+    void expect_message_at_peer()
+    {
+        constexpr std::chrono::seconds limit{10};
+        bool received = false;
+        mesh receiver{[&](const wire::envelope&) { received = true; }};
+        reason why;
+        ASSERT_TRUE(receiver.start_unauthenticated(address, why)) << why.str();
+        wire::envelope message;
+        message.set_from("sender");
+        const auto start = std::chrono::steady_clock::now();
+        const auto elapsed = [&] { return std::chrono::steady_clock::now() - start; };
+        ASSERT_TRUE(wait_until([&] {
+            sender.send(peer, message);
+            receiver.drain();
+            return received || elapsed() >= limit;
+        }));
+        ASSERT_TRUE(received);
+        EXPECT_LT(elapsed(), limit);
+    }
+
+    QTcpServer other;
+    endpoint address;
+    daemon_id peer;
     mesh sender{[](const wire::envelope&) {}};
-    ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
-    const daemon_id peer{address.str()};
-    sender.add_peer(peer);
     std::unique_ptr<QTcpSocket> accepted;
-    ASSERT_TRUE(wait_until([&] {
-        accepted.reset(silent_server->nextPendingConnection());
-        return accepted != nullptr;
-    }));
-    silent_server->close(); // the accepted connection stays open, as in a stopped process
-    bool received = false;
-    mesh receiver{[&](const wire::envelope&) { received = true; }};
-    ASSERT_TRUE(receiver.start_unauthenticated(address, why)) << why.str();
-    wire::envelope message;
-    message.set_from("sender");
-    const auto start = std::chrono::steady_clock::now();
-    ASSERT_TRUE(wait_until([&] {
-        sender.send(peer, message);
-        receiver.drain();
-        return received;
-    }));
-    EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds{10});
+};
+
+TEST_F(a_peer, that_accepts_the_connection_and_sends_nothing_is_retried)
+{
+    other.close(); // the accepted connection stays open, as in a stopped process
+    expect_message_at_peer();
 }
 
 // Guards against a daemon that never connects again after it received bytes that break the
 // protocol: ZeroMQ does not reconnect after a protocol error.
-TEST(a_peer, whose_address_answered_with_invalid_bytes_is_retried)
+TEST_F(a_peer, whose_address_answered_with_invalid_bytes_is_retried)
 {
-    QTcpServer other;
-    ASSERT_TRUE(other.listen(QHostAddress::LocalHost));
-    const endpoint address{"127.0.0.1", other.serverPort()};
-    reason why;
-    mesh sender{[](const wire::envelope&) {}};
-    ASSERT_TRUE(sender.start_unauthenticated({"127.0.0.1", 0}, why)) << why.str();
-    const daemon_id peer{address.str()};
-    sender.add_peer(peer);
-    std::unique_ptr<QTcpSocket> accepted;
-    ASSERT_TRUE(wait_until([&] {
-        accepted.reset(other.nextPendingConnection());
-        return accepted != nullptr;
-    }));
     // The signature and the version of ZMTP 3.1, then a mechanism that does not exist.
     constexpr int greeting_bytes = 64;
     QByteArray greeting{"\xff\0\0\0\0\0\0\0\1\x7f\3\1"
@@ -222,18 +230,7 @@
     accepted->write(greeting);
     ASSERT_TRUE(wait_until([&] { return accepted->state() == QAbstractSocket::UnconnectedState; }));
     other.close();
-    bool received = false;
-    mesh receiver{[&](const wire::envelope&) { received = true; }};
-    ASSERT_TRUE(receiver.start_unauthenticated(address, why)) << why.str();
-    wire::envelope message;
-    message.set_from("sender");
-    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds{10};
-    EXPECT_TRUE(wait_until([&] {
-        sender.send(peer, message);
-        receiver.drain();
-        return received || std::chrono::steady_clock::now() >= deadline;
-    }));
-    EXPECT_TRUE(received);
+    expect_message_at_peer();
 }
 
 } // namespace
